--- a/src/request/limits/deadline_gate.cpp
+++ b/src/request/limits/deadline_gate.cpp
@@ -5,7 +5,7 @@
 namespace hatchfork::request {
 namespace {
 
-/// Weight of a new sample in the smoothed value.
+/// Weight of a new sample in the exponential moving average.
 constexpr double kSampleWeight = 0.1;
 constexpr Duration kShortestRetry = fromMillis(250);
 
@@ -22,9 +22,9 @@
 
 Status DeadlineGate::check(Instant now, std::optional<Instant> deadline) const {
   if (!deadline || now + typical_ < *deadline) return okStatus();
-  return Error{ErrorKind::kDeadlineExceeded, "the deadline cannot be met",
-               "allow more time than the first token takes now, or retry after the stated time", Executed::kNo,
-               std::max(typical_, kShortestRetry)};
+  return Error{ErrorKind::kDeadlineExceeded, "the request cannot be answered before its deadline",
+               "set a deadline that is longer than the current time to first token, or retry after the stated time",
+               Executed::kNo, std::max(typical_, kShortestRetry)};
 }
 
 }  // namespace hatchfork::request
--- a/src/request/limits/deadline_gate.hpp
+++ b/src/request/limits/deadline_gate.hpp
@@ -7,16 +7,16 @@
 
 namespace hatchfork::request {
 
-/// Learns how long a service takes to the first token and refuses at once a request whose deadline it cannot meet. One
-/// for a service and traffic thread.
+/// Tracks the typical time to first token of a service and rejects requests whose deadline cannot be met. One instance
+/// per service and traffic thread.
 class DeadlineGate {
  public:
-  /// `first_token` as the gateway measured it, from dispatch to the first byte of the answer.
+  /// `first_token`: time that the gateway measured from dispatch to the first byte of the answer.
   void recordFirstToken(Duration first_token);
-  /// `kDeadlineExceeded`, `Executed::kNo` and a retry time when `deadline` comes before the typical first token.
-  /// Without a deadline, or before the first sample, only a passed deadline is refused.
+  /// Returns `kDeadlineExceeded` with `Executed::kNo` and a retry time if `deadline` is earlier than the typical first
+  /// token. Before the first sample, only deadlines in the past are rejected. Requests without a deadline always pass.
   Status check(Instant now, std::optional<Instant> deadline) const;
-  /// Smoothed first-token time; zero before the first sample.
+  /// Exponential moving average of the first-token time; zero before the first sample.
   Duration typicalFirstToken() const { return typical_; }
 
  private:
--- a/src/request/limits/drain_meter.hpp
+++ b/src/request/limits/drain_meter.hpp
@@ -6,23 +6,24 @@
 namespace hatchfork::request {
 
 struct DrainMeterLimits {
-  /// What was finished so long ago counts by 1/e.
+  /// Time constant of the exponential decay: work finished this long ago has the weight 1/e.
   Duration memory = std::chrono::seconds(4);
-  /// Bounds of the times that are told.
+  /// Bounds of the estimates that `timeToDrain` returns.
   Duration shortest = fromMillis(200);
   Duration longest = std::chrono::seconds(20);
 };
 
-/// Measures how fast waiting work is finished, so that whoever is refused can be told when there will be room. No
-/// clock. Belongs to one thread.
+/// Measures how fast queued work is finished, in order to estimate the retry time of rejected requests. Callers pass
+/// the current time. Not thread-safe.
 class DrainMeter {
  public:
   explicit DrainMeter(DrainMeterLimits limits = {}) : limits_(limits), finished_(limits.memory) {}
 
   void noteFinished(Instant now, double units) { finished_.note(now, units); }
-  /// Units a second, lately.
+  /// Decaying average in units per second.
   double rate(Instant now) const { return finished_.rate(now); }
-  /// When so many units will have been finished at the rate of late; the longest time while nothing is.
+  /// Returns the estimated time to finish `units` at the current rate, within `shortest` and `longest`; `longest` if
+  /// nothing has been finished recently.
   Duration timeToDrain(Instant now, double units) const;
 
  private:
--- a/src/request/limits/limit_owner_choice.hpp
+++ b/src/request/limits/limit_owner_choice.hpp
@@ -6,8 +6,8 @@
 
 namespace hatchfork::request {
 
-/// The candidate that owns the limits of a tenant, by rendezvous hashing, so that a candidate that leaves moves none of
-/// the others' tenants; empty without candidates.
+/// Returns the candidate that owns the rate limit of a tenant; empty if there are no candidates. Uses rendezvous
+/// hashing, so that removing a candidate reassigns only the tenants of that candidate.
 ReplicaId limitOwnerOf(const TenantId& tenant, const std::vector<ReplicaId>& candidates);
 
 }  // namespace hatchfork::request
--- a/src/request/limits/rate_credit.hpp
+++ b/src/request/limits/rate_credit.hpp
@@ -5,90 +5,92 @@
 
 #include "common/time.hpp"
 
-/// A tenant's rate limit holds over all gateways together. One owner keeps the tenant's bucket; gateways ask it for
-/// credits ahead of their requests. A credit admits one request, at one gateway, until it expires. So no window of time
-/// sees more requests than the owner granted within that window and the lifetime of a credit before it.
+/// Messages of the fleet-wide rate limit. The rate limit of a tenant applies to the sum of all gateways. One process
+/// owns the token bucket of the tenant, and gateways request credits from the owner ahead of their requests. A credit
+/// admits one request at one gateway until the credit expires. Hence the requests admitted in any time window are at
+/// most the credits granted within that window and within one credit lifetime before it.
 namespace hatchfork::request {
 
-/// How exactly limits are held; the same for all processes of a fleet.
+/// Precision of the rate limits. All processes of a fleet use the same values.
 struct RateLimitOptions {
-  /// Time over which limits are judged.
+  /// Length of the window in which a limit must hold.
   Duration window = std::chrono::seconds(5);
-  /// Requests above a limit that are tolerated in a window: half of them are for bursts of small tenants, the other
-  /// half for changes of owner.
+  /// Number of requests above a limit that are tolerated per window. One half is added to the bucket for bursts of
+  /// small tenants, the other half covers changes of the owner.
   double slack = 0;
-  /// Callers over a limit get times at which credits are kept for them.
+  /// True if callers over a limit get a scheduled retry: a time at which a credit is reserved for them.
   bool appointments = false;
 
-  /// A credit counts for this long from when it was asked for; what is unused then is lost. It never goes back: the
-  /// bucket may have filled meanwhile, and would hold it twice. It bounds what a limit may be exceeded by, its rate
-  /// times this: a tenth of what the rate gives in a window.
+  /// Validity of a credit, counted from when it was requested. Unused credits expire and are not returned to the
+  /// bucket: the bucket may have refilled meanwhile and would count them twice. The lifetime bounds the excess over a
+  /// limit to rate x lifetime, a tenth of the requests that the rate allows in a window.
   Duration creditLifetime() const { return window / 10; }
 };
 
-/// A request that waits at a gateway for a credit, as the owner of the limit has to know it.
+/// A pending request that waits at a gateway for a credit, as described to the owner of the limit.
 struct CreditAsk {
-  /// Equal for each try of one caller with the same content, at whatever gateway.
+  /// Hash of caller and content: equal for all attempts of one caller with the same content, at any gateway.
   std::uint64_t content = 0;
-  /// Rank of its route; zero is the most urgent.
+  /// Rank of the route; zero is the most urgent.
   std::uint32_t rank = 0;
-  /// How long it may wait at its gateway and still be in time.
+  /// Longest wait at the gateway with which the request still meets its latency target.
   Duration in_time{};
-  /// How long it may wait at its gateway for an answer that is late, but of use.
+  /// Longest wait at the gateway with which a late answer is still useful.
   Duration at_all{};
-  /// For how long its caller lets itself be sent away.
+  /// Longest retry delay that the caller accepts.
   Duration away{};
 
   bool operator==(const CreditAsk&) const = default;
 };
 
+/// Decision of the owner on one pending request. The values are sent between processes.
 enum class CreditOutcome : std::uint8_t {
-  /// There is none for it within what its caller can still use.
+  /// No credit is available within the waits and retry delays that the caller accepts.
   kRefused = 0,
   kGranted = 1,
-  /// One is kept for it, so soon that it waits at its gateway and asks again then.
+  /// A credit is reserved for a time so close that the request waits at its gateway and then requests the credit again.
   kWait = 2,
-  /// Its caller is to come back: a credit is kept for it.
+  /// The caller is to retry later; a credit is reserved for the retry.
   kReturn = 3,
-  /// Its caller is to come back as late as it lets itself be sent away; no credit is kept for it.
+  /// The caller is to retry after the longest delay that it accepts; no credit is reserved.
   kReturnUnkept = 4,
 };
 
-/// What the owner says to one `CreditAsk`.
+/// Reply of the owner to one `CreditAsk`.
 struct CreditReply {
   std::uint64_t content = 0;
   CreditOutcome outcome = CreditOutcome::kRefused;
-  /// When to ask again, or to come back.
+  /// Delay before the next credit request of the gateway (`kWait`) or the retry of the caller (`kReturn`).
   Duration after{};
 
   bool operator==(const CreditReply&) const = default;
 };
 
-/// What a gateway asks for.
+/// Message from a gateway to the owner of a limit.
 struct CreditQuestion {
-  /// Credits for requests that wait or are likely soon; those of `asks` count among them.
+  /// Number of credits requested, for pending and expected requests; includes those of `asks`.
   double wanted = 0;
-  /// Requests of the tenant that came to the gateway since it last asked.
+  /// Number of requests of the tenant that arrived at the gateway since its last message.
   double arrivals = 0;
-  /// Requests that wait; none from gateways that know no appointments.
+  /// Pending requests; empty from gateways that do not support scheduled retries.
   std::vector<CreditAsk> asks = {};
 
   bool operator==(const CreditQuestion&) const = default;
 };
 
-/// What the owner answers.
+/// Answer of the owner of a limit to a gateway.
 struct CreditAnswer {
-  /// Beside what is granted to `asks`.
+  /// Number of credits granted in addition to those granted to `asks`.
   double granted = 0;
-  /// Requests a second that all gateways together have lately been granted.
+  /// Recent rate of credits granted to all gateways together, per second.
   double used_per_second = 0;
-  /// Filled part of the tenant's bucket, zero to one.
+  /// Fill level of the bucket of the tenant, from zero to one.
   double level = 0;
-  /// When there will be a credit again; zero where there is one.
+  /// Time until the next credit is available; zero if one is available now.
   Duration wait{};
-  /// The owner answers each ask; false for one that knows no appointments.
+  /// True if the owner replies to each entry of `asks`; false for an owner that does not support scheduled retries.
   bool gives_appointments = false;
-  /// Credits are so few that they go to requests that wait alone, none ahead.
+  /// True if credits are so scarce that the owner grants them to pending requests only, none ahead.
   bool is_tight = false;
   std::vector<CreditReply> replies = {};
 };
--- a/src/request/limits/rate_limit_account.cpp
+++ b/src/request/limits/rate_limit_account.cpp
@@ -7,123 +7,125 @@
 namespace hatchfork::request {
 namespace {
 
-/// Over which time arrivals are averaged that tell how many credits are needed soon. So long that a lone request asks
-/// for no credit but its own.
-constexpr Duration kArrivalMemory = fromMillis(1000);
-/// Credits are held for the arrivals of this part of their lifetime.
-constexpr double kAheadPart = 0.6;
-/// The part of that stock below which more are asked for.
-constexpr double kRefillBelow = 0.5;
-/// Least and longest time for which a limit is taken for exhausted after its owner said so: bounds the questions of a
-/// gateway for a tenant that is over its limit to ten a second.
+/// Averaging time of the arrival rate from which the expected need of credits is derived. Long enough that a single
+/// request does not cause credits to be requested ahead.
+constexpr Duration kArrivalAveragingTime = fromMillis(1000);
+/// Credits are requested ahead for the arrivals expected in this fraction of the credit lifetime.
+constexpr double kPrefetchFraction = 0.6;
+/// More credits are requested when fewer than this fraction of the prefetched credits is left.
+constexpr double kRefillThreshold = 0.5;
+/// Shortest and longest time for which a limit counts as exhausted after its owner has reported so. Bounds the credit
+/// requests of a gateway for a tenant over its limit to ten per second.
 constexpr Duration kShortestPause = fromMillis(100);
 constexpr Duration kLongestPause = fromMillis(500);
-/// While credits are so few that none is held ahead, a gateway asks the owner for those who wait no more often than
-/// this. A quarter of most objectives is not reached by it, so that a refusal still comes early.
-constexpr Duration kGatherFor = fromMillis(30);
-/// An owner that did not answer is asked again after this long.
-constexpr Duration kCutOffFor = fromMillis(300);
-/// The bucket of the own part holds its rate of this part of a window. With as much that a new owner begins with, both
-/// stay below the tenth of a window by which a limit may be exceeded.
-constexpr double kOwnPartOfWindow = 0.04;
-/// Callers are never told to stay away for longer.
-constexpr Duration kLongestReturn = std::chrono::seconds(2);
+/// Shortest interval between two credit requests while credits are too scarce to be granted ahead; pending requests are
+/// batched meanwhile. Less than a quarter of most latency targets, so that rejections are still returned early.
+constexpr Duration kBatchingInterval = fromMillis(30);
+/// Time after which a credit request is sent again to an owner that did not answer.
+constexpr Duration kUnreachableRetryInterval = fromMillis(300);
+/// Capacity of the local bucket, as the requests that its rate allows in this fraction of a window. A new owner starts
+/// with the same amount; the sum of both stays below the tenth of a window by which a limit may be exceeded.
+constexpr double kLocalBurstFraction = 0.04;
+/// Upper bound of the retry delay that callers receive.
+constexpr Duration kLongestRetryDelay = std::chrono::seconds(2);
+/// Time without arrivals after which an account is idle.
 constexpr Duration kIdleAfter = std::chrono::seconds(30);
 
 }  // namespace
 
 RateLimitAccount::RateLimitAccount(RateLimitOptions options)
-    : options_(options), arrivals_(kArrivalMemory), admitted_(options.window), own_bucket_(0, 0) {}
+    : options_(options), arrivals_(kArrivalAveragingTime), admitted_(options.window), local_bucket_(0, 0) {}
 
 void RateLimitAccount::noteArrival(Instant now) {
   arrivals_.note(now, 1);
-  ++arrivals_untold_;
+  ++unreported_arrivals_;
   arrived_at_ = now;
 }
 
 void RateLimitAccount::dropExpired(Instant now) {
-  while (!lots_.empty() && now >= lots_.front().expires_at) lots_.pop_front();
+  while (!batches_.empty() && now >= batches_.front().expires_at) batches_.pop_front();
 }
 
-double RateLimitAccount::stock() const {
+double RateLimitAccount::heldCredits() const {
   double credits = 0;
-  for (const Lot& lot : lots_) credits += lot.credits;
+  for (const CreditBatch& batch : batches_) credits += batch.credits;
   return credits;
 }
 
 bool RateLimitAccount::tryTake(Instant now) {
   dropExpired(now);
-  if (lots_.empty()) return false;
-  lots_.front().credits -= 1;
-  if (lots_.front().credits < 1) lots_.pop_front();
+  if (batches_.empty()) return false;
+  batches_.front().credits -= 1;
+  if (batches_.front().credits < 1) batches_.pop_front();
   admitted_.note(now, 1);
   return true;
 }
 
 std::optional<CreditQuestion> RateLimitAccount::nextQuestion(Instant now, std::size_t waiting) {
-  if (asked_at_ || isOverLimit(now) || isCutOff(now)) return std::nullopt;
-  if (now < ask_again_at_) return std::nullopt;
+  if (request_sent_at_ || isOverLimit(now) || isCutOff(now)) return std::nullopt;
+  if (now < next_request_at_) return std::nullopt;
   dropExpired(now);
-  const double ahead = std::floor(kAheadPart * toSeconds(options_.creditLifetime()) * arrivals_.rate(now));
-  const double held = stock();
-  if (waiting == 0 && held >= kRefillBelow * ahead) return std::nullopt;
-  asked_at_ = now;
+  const double ahead = std::floor(kPrefetchFraction * toSeconds(options_.creditLifetime()) * arrivals_.rate(now));
+  const double held = heldCredits();
+  if (waiting == 0 && held >= kRefillThreshold * ahead) return std::nullopt;
+  request_sent_at_ = now;
   CreditQuestion question{ahead - std::min(held, ahead) + static_cast<double>(waiting)};
-  if (options_.appointments) question.arrivals = std::exchange(arrivals_untold_, 0);
+  if (options_.appointments) question.arrivals = std::exchange(unreported_arrivals_, 0);
   return question;
 }
 
 void RateLimitAccount::noteAnswer(Instant now, const CreditAnswer& answer) {
-  const std::optional<Instant> asked_at = std::exchange(asked_at_, std::nullopt);
-  cut_off_until_ = Instant{};
+  const std::optional<Instant> sent_at = std::exchange(request_sent_at_, std::nullopt);
+  unreachable_until_ = Instant{};
   answered_at_ = now;
   last_answer_ = answer;
   admitted_at_answer_ = admitted_.rate(now);
-  if (!asked_at) {
-    // The question was given up long ago; its credits may be too old.
+  if (!sent_at) {
+    // The request has timed out before; its credits may have expired.
     return;
   }
-  if (answer.granted >= 1) lots_.push_back(Lot{answer.granted, *asked_at + options_.creditLifetime()});
-  if (answer.is_tight) ask_again_at_ = *asked_at + kGatherFor;
+  if (answer.granted >= 1) batches_.push_back(CreditBatch{answer.granted, *sent_at + options_.creditLifetime()});
+  if (answer.is_tight) next_request_at_ = *sent_at + kBatchingInterval;
   if (answer.gives_appointments) return;
   if (answer.granted < 1) over_limit_until_ = now + std::clamp(answer.wait, kShortestPause, kLongestPause);
 }
 
-/// Of one moment: measured against an older use, a part grows by what it admits itself, and the parts of all gateways
-/// exceed the limit while a tenant's traffic rises and no owner answers.
-double RateLimitAccount::ownPart() const {
+/// Both rates are of the same moment. If the current local rate were divided by an older fleet-wide rate, the share
+/// would grow with each request admitted locally, and the shares of all gateways would exceed the limit while the
+/// traffic of a tenant increases and no owner answers.
+double RateLimitAccount::localShare() const {
   if (last_answer_.used_per_second <= 0) return 0;
   return std::min(1.0, admitted_at_answer_ / last_answer_.used_per_second);
 }
 
 void RateLimitAccount::noteNoAnswer(Instant now, const TenantLimits& limits) {
-  asked_at_.reset();
-  cut_off_until_ = now + kCutOffFor;
-  const double rate = limits.online_requests_per_second * ownPart();
-  const double burst = std::max(1.0, kOwnPartOfWindow * toSeconds(options_.window) * rate);
-  // A gateway that knows no use admits a single request.
-  const double least_rate = 1e-3;
-  if (now >= own_bucket_until_) {
-    own_bucket_ = TokenBucket(std::max(least_rate, rate), burst);
+  request_sent_at_.reset();
+  unreachable_until_ = now + kUnreachableRetryInterval;
+  const double rate = limits.online_requests_per_second * localShare();
+  const double burst = std::max(1.0, kLocalBurstFraction * toSeconds(options_.window) * rate);
+  // A gateway that has not received any usage admits a single request.
+  const double lowest_rate = 1e-3;
+  if (now >= local_bucket_until_) {
+    local_bucket_ = TokenBucket(std::max(lowest_rate, rate), burst);
   } else {
-    own_bucket_.configure(std::max(least_rate, rate), burst);
+    local_bucket_.configure(std::max(lowest_rate, rate), burst);
   }
-  // Filled anew only after a window with an owner in reach.
-  own_bucket_until_ = now + options_.window;
+  // The bucket is refilled only after a window in which the owner was reachable.
+  local_bucket_until_ = now + options_.window;
 }
 
 bool RateLimitAccount::tryTakeOwnPart(Instant now) {
-  if (!own_bucket_.tryTake(now)) return false;
+  if (!local_bucket_.tryTake(now)) return false;
   admitted_.note(now, 1);
   return true;
 }
 
 Duration RateLimitAccount::comeBackAfter(Instant now, const TenantLimits& limits) {
-  const double rate = limits.online_requests_per_second * ownPart();
-  const double pause_seconds = rate <= 0 ? toSeconds(kLongestReturn) : 1 / rate;
-  const Duration pause(static_cast<Duration::rep>(std::min(pause_seconds, toSeconds(kLongestReturn)) * 1e6));
-  next_return_ = std::min(std::max(now, next_return_) + pause, now + kLongestReturn);
-  return std::max(next_return_ - now, kShortestPause);
+  const double rate = limits.online_requests_per_second * localShare();
+  const double pause_seconds = rate <= 0 ? toSeconds(kLongestRetryDelay) : 1 / rate;
+  const Duration pause(static_cast<Duration::rep>(std::min(pause_seconds, toSeconds(kLongestRetryDelay)) * 1e6));
+  next_retry_at_ = std::min(std::max(now, next_retry_at_) + pause, now + kLongestRetryDelay);
+  return std::max(next_retry_at_ - now, kShortestPause);
 }
 
 bool RateLimitAccount::isIdle(Instant now) const {
--- a/src/request/limits/rate_limit_account.hpp
+++ b/src/request/limits/rate_limit_account.hpp
@@ -12,70 +12,74 @@
 
 namespace hatchfork::request {
 
-/// What one gateway knows of one tenant's limit: its credits, what it lately asked, and what it may admit on its own
-/// while the owner does not answer. That is the gateway's own part of what all gateways lately used, of the whole
-/// limit, so that the parts of all gateways add up to the limit. No I/O, no clock. Belongs to one thread.
+/// State of the rate limit of one tenant at one gateway: the credits held, the credit request in flight and the local
+/// share. While the owner does not answer, the gateway admits requests from its local share of the limit: the fraction
+/// that this gateway had of the recent usage of all gateways, so that the shares of all gateways add up to the limit.
+/// Does no I/O; callers pass the current time. Not thread-safe.
 class RateLimitAccount {
  public:
   explicit RateLimitAccount(RateLimitOptions options = {});
 
   void noteArrival(Instant now);
-  /// Uses a credit if there is one.
+  /// Uses a credit; returns false if there is none.
   bool tryTake(Instant now);
-  /// The question that should go to the owner now, for `waiting` requests and those to come; nothing while one is under
-  /// way or there are credits enough.
+  /// Returns the credit request to send to the owner now, for `waiting` pending requests and for expected ones. Returns
+  /// nothing while a request is in flight, while the limit is exhausted or if there are enough credits.
   std::optional<CreditQuestion> nextQuestion(Instant now, std::size_t waiting);
   void noteAnswer(Instant now, const CreditAnswer& answer);
-  /// The question that is in flight has found no owner, or no answer in time.
+  /// Records that the request in flight reached no owner or got no answer in time.
   void noteNoAnswer(Instant now, const TenantLimits& limits);
-  /// A request has got its credit as the reply to its own ask.
+  /// Records that a pending request got its credit directly, as the reply to its own entry.
   void noteGranted(Instant now) { admitted_.note(now, 1); }
-  /// From when the owner may be asked again: while credits are few, questions are gathered.
-  Instant askAgainAt() const { return ask_again_at_; }
-  bool isAsking() const { return asked_at_.has_value(); }
-  /// True while the owner is known to have no credit.
+  /// Earliest time of the next credit request; while credits are scarce, pending requests are batched.
+  Instant askAgainAt() const { return next_request_at_; }
+  bool isAsking() const { return request_sent_at_.has_value(); }
+  /// True while the owner has reported that no credit is left.
   bool isOverLimit(Instant now) const { return now < over_limit_until_; }
-  /// True while the owner is taken for out of reach.
-  bool isCutOff(Instant now) const { return now < cut_off_until_; }
-  /// Admits a request without the owner, from this gateway's own part of the limit.
+  /// True while the owner is considered unreachable.
+  bool isCutOff(Instant now) const { return now < unreachable_until_; }
+  /// Admits a request without the owner, from the local share of this gateway; returns false if the share is used up.
   bool tryTakeOwnPart(Instant now);
-  /// When a caller that is over the limit has a chance; later for each further one, so that they do not come at once.
+  /// Returns the retry delay of a caller that is over the limit. Each call returns a later time than the one before, up
+  /// to a maximum, so that callers do not all retry at once.
   Duration comeBackAfter(Instant now, const TenantLimits& limits);
 
   bool isIdle(Instant now) const;
-  /// When the owner last answered; nothing before it did.
+  /// Time of the last answer of the owner; empty before the first one.
   std::optional<Instant> answeredAt() const { return answered_at_; }
   const CreditAnswer& lastAnswer() const { return last_answer_; }
 
  private:
-  struct Lot {
+  /// Credits of one answer; they expire together.
+  struct CreditBatch {
     double credits = 0;
     Instant expires_at{};
   };
 
   void dropExpired(Instant now);
-  double stock() const;
-  /// Own part of the use of all gateways, zero to one.
-  double ownPart() const;
+  /// Number of credits held.
+  double heldCredits() const;
+  /// Fraction of the usage of all gateways that is due to this gateway, from zero to one.
+  double localShare() const;
 
   RateLimitOptions options_;
-  std::deque<Lot> lots_;
+  std::deque<CreditBatch> batches_;
   RateMeter arrivals_;
   RateMeter admitted_;
   Instant arrived_at_{};
-  std::optional<Instant> asked_at_;
-  Instant ask_again_at_{};
-  /// Arrivals that the owner has not been told of.
-  double arrivals_untold_ = 0;
+  std::optional<Instant> request_sent_at_;
+  Instant next_request_at_{};
+  /// Arrivals that have not been reported to the owner.
+  double unreported_arrivals_ = 0;
   std::optional<Instant> answered_at_;
   CreditAnswer last_answer_;
-  /// What this gateway admitted a second when the owner last told what all of them do.
+  /// Admission rate of this gateway, per second, when the owner last reported the rate of all gateways.
   double admitted_at_answer_ = 0;
   Instant over_limit_until_{};
-  Instant cut_off_until_{};
-  TokenBucket own_bucket_;
-  Instant own_bucket_until_{};
-  Instant next_return_{};
+  Instant unreachable_until_{};
+  TokenBucket local_bucket_;
+  Instant local_bucket_until_{};
+  Instant next_retry_at_{};
 };
 
 }  // namespace hatchfork::request
--- a/src/request/limits/rate_limit_owner.cpp
+++ b/src/request/limits/rate_limit_owner.cpp
@@ -6,15 +6,15 @@
 namespace hatchfork::request {
 namespace {
 
-/// A new owner begins with the rate of this part of a window.
-constexpr double kTakeoverPart = 0.04;
-/// A bucket that nobody has asked for this long is full, or is worth no memory.
+/// Initial fill of the buckets of a new owner, as the requests that the rate allows in this fraction of a window.
+constexpr double kTakeoverFraction = 0.04;
+/// Time without requests after which a bucket is removed: it is full by then, or not worth its memory.
 constexpr Duration kIdleLifetime = std::chrono::seconds(30);
-/// Part of the tolerated excess that buckets hold above the burst.
-constexpr double kBurstPartOfSlack = 0.5;
-/// A bucket with less than its limit gives in this time grants nothing ahead: credits that lie unused at one gateway
-/// are lacking at another one.
-constexpr Duration kTightBelow = fromMillis(100);
+/// Fraction of the tolerated excess that is added to the capacity of the buckets.
+constexpr double kBurstFractionOfSlack = 0.5;
+/// A bucket that holds less than the limit yields in this time grants no credits ahead, because unused credits at one
+/// gateway would be missing at another one.
+constexpr Duration kScarcityThreshold = fromMillis(100);
 
 void add(ReturnCounters& sum, const ReturnCounters& part) {
   sum.promised += part.promised;
@@ -27,12 +27,12 @@
 }  // namespace
 
 void RateLimitOwner::noteTakeover(Instant now) {
-  // After a window nothing counts any more that a predecessor granted.
+  // Credits granted by the previous owner no longer count after one window.
   settled_at_ = now + options_.window;
 }
 
 double RateLimitOwner::capacityOf(const TenantLimits& limits) const {
-  return std::max(1.0, limits.online_burst) + kBurstPartOfSlack * options_.slack;
+  return std::max(1.0, limits.online_burst) + kBurstFractionOfSlack * options_.slack;
 }
 
 RateLimitOwner::Bucket& RateLimitOwner::bucketOf(Instant now, const TenantId& tenant, const TenantLimits& limits) {
@@ -41,9 +41,9 @@
       buckets_.try_emplace(tenant, Bucket{0, now, RateMeter(options_.window), ReturnSchedule()});
   Bucket& bucket = entry->second;
   if (is_new) {
-    const double takeover_seconds = kTakeoverPart * toSeconds(options_.window);
+    const double takeover_seconds = kTakeoverFraction * toSeconds(options_.window);
     const double unsettled =
-        kBurstPartOfSlack * options_.slack / 2 + takeover_seconds * limits.online_requests_per_second;
+        kBurstFractionOfSlack * options_.slack / 2 + takeover_seconds * limits.online_requests_per_second;
     bucket.level = now < settled_at_ ? std::min(capacity, unsettled) : capacity;
     bucket.schedule.assumeFullUntil(settled_at_);
     return bucket;
@@ -54,7 +54,7 @@
   return bucket;
 }
 
-/// Those with the most urgent rank first, in the order in which they came.
+/// Serves the most urgent rank first, and requests of equal rank in their order of arrival.
 void RateLimitOwner::answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditQuestion& question,
                                 CreditAnswer& answer) const {
   const double rate = limits.online_requests_per_second;
@@ -78,14 +78,14 @@
   double wanted = question.wanted;
   double reserve = 0;
   if (options_.appointments) {
-    const bool tells_arrivals = question.arrivals > 0 || !question.asks.empty();
-    bucket.schedule.noteArrivals(now, tells_arrivals ? question.arrivals : question.wanted);
+    const bool reports_arrivals = question.arrivals > 0 || !question.asks.empty();
+    bucket.schedule.noteArrivals(now, reports_arrivals ? question.arrivals : question.wanted);
     answerAsks(now, bucket, limits, question, answer);
     wanted -= static_cast<double>(question.asks.size());
     const double kept = static_cast<double>(bucket.schedule.kept(now, rate, capacity));
-    answer.is_tight = bucket.level - kept < rate * toSeconds(kTightBelow);
-    // A gateway that tells no arrivals has requests waiting among those it wants.
-    reserve = kept + (tells_arrivals ? rate * toSeconds(kTightBelow) : 0);
+    answer.is_tight = bucket.level - kept < rate * toSeconds(kScarcityThreshold);
+    // A gateway that reports no arrivals may have pending requests among the credits in `wanted`.
+    reserve = kept + (reports_arrivals ? rate * toSeconds(kScarcityThreshold) : 0);
   }
   answer.granted = std::floor(std::clamp(wanted, 0.0, std::max(0.0, bucket.level - reserve)));
   bucket.level -= answer.granted;
@@ -104,7 +104,7 @@
 }
 
 ReturnCounters RateLimitOwner::returns() const {
-  ReturnCounters sum = forgotten_;
+  ReturnCounters sum = removed_counters_;
   for (const auto& [tenant, bucket] : buckets_) add(sum, bucket.schedule.counters());
   return sum;
 }
@@ -112,7 +112,7 @@
 void RateLimitOwner::expire(Instant now) {
   std::erase_if(buckets_, [this, now](const auto& entry) {
     const bool is_idle = now > entry.second.updated_at + kIdleLifetime;
-    if (is_idle) add(forgotten_, entry.second.schedule.counters());
+    if (is_idle) add(removed_counters_, entry.second.schedule.counters());
     return is_idle;
   });
 }
--- a/src/request/limits/rate_limit_owner.hpp
+++ b/src/request/limits/rate_limit_owner.hpp
@@ -11,22 +11,26 @@
 
 namespace hatchfork::request {
 
-/// The buckets of the tenants whose limits this process owns. An owner that has just taken over does not know what its
-/// predecessor granted, so that its buckets begin nearly empty. No I/O, no clock. Belongs to one thread.
+/// Token buckets of the tenants whose rate limits this process owns. After a takeover, the credits granted by the
+/// previous owner are unknown, so the buckets start nearly empty. Does no I/O; callers pass the current time. Not
+/// thread-safe.
 ///
-/// Cost: a question costs one look-up; tenants that nobody has asked for lately cost nothing.
+/// Cost: one lookup per credit request. The buckets of idle tenants are removed by `expire`.
 class RateLimitOwner {
  public:
   explicit RateLimitOwner(RateLimitOptions options) : options_(options) {}
 
-  /// Another process may have owned these limits until now.
+  /// Records that another process may have owned these limits until now.
   void noteTakeover(Instant now);
+  /// Grants credits from the bucket of the tenant.
   CreditAnswer answer(Instant now, const TenantId& tenant, const TenantLimits& limits, const CreditQuestion& question);
-  /// Forgets the buckets that are full again.
+  /// Removes the buckets of idle tenants; their counters are kept.
   void expire(Instant now);
+  /// Number of tenants with a bucket.
   std::size_t buckets() const { return buckets_.size(); }
-  /// Of the tenants that were active lately: promises that are outstanding, and what became of earlier ones.
+  /// Number of outstanding reservations over all tenants with a bucket.
   std::size_t promised() const;
+  /// Outcomes of all reservations since the start, those of removed buckets included.
   ReturnCounters returns() const;
 
  private:
@@ -45,8 +49,8 @@
   RateLimitOptions options_;
   Instant settled_at_{};
   std::map<TenantId, Bucket> buckets_;
-  /// Of the tenants that were forgotten.
-  ReturnCounters forgotten_;
+  /// Counters of the buckets that have been removed.
+  ReturnCounters removed_counters_;
 };
 
 }  // namespace hatchfork::request
--- a/src/request/limits/rate_meter.hpp
+++ b/src/request/limits/rate_meter.hpp
@@ -4,14 +4,14 @@
 
 namespace hatchfork::request {
 
-/// Measures how many units come a second, lately: what came `memory` ago counts by 1/e. No clock. Belongs to one
-/// thread.
+/// Exponentially decaying average of a rate: units recorded `memory` ago have the weight 1/e. Callers pass the current
+/// time. Not thread-safe.
 class RateMeter {
  public:
   explicit RateMeter(Duration memory) : memory_(memory) {}
 
   void note(Instant now, double units);
-  /// Units a second.
+  /// Units per second.
   double rate(Instant now) const;
 
  private:
--- a/src/request/limits/tenant_limiter.cpp
+++ b/src/request/limits/tenant_limiter.cpp
@@ -8,14 +8,14 @@
 
 constexpr Duration kRetryAfterConcurrency = fromMillis(500);
 
-/// A gateway's part of a fleet-wide limit; zero stays unlimited.
+/// Returns the share of one gateway in a fleet-wide limit, at least one. Zero means unlimited and stays zero.
 std::uint32_t shareOf(std::uint32_t limit, std::uint32_t gateways) {
   if (limit == 0) return 0;
   return std::max<std::uint32_t>((limit + gateways - 1) / gateways, 1);
 }
 
 Error limited(const TenantId& tenant, const std::string& what, Duration retry_after) {
-  return Error{ErrorKind::kRateLimited, "tenant " + tenant.value + " has used up its " + what,
+  return Error{ErrorKind::kRateLimited, "tenant " + tenant.value + " has reached its limit of " + what,
                "retry after the stated time, or ask the operators for a higher limit", Executed::kNo, retry_after};
 }
 
@@ -65,7 +65,7 @@
   const bool full = record.online_concurrency > 0 && record.online_in_flight >= record.online_concurrency;
   if (full) return limited(tenant, "online requests in flight", kRetryAfterConcurrency);
   if (!record.online_rate.tryTake(now)) {
-    return limited(tenant, "online requests a second", record.online_rate.untilAvailable(now));
+    return limited(tenant, "online requests per second", record.online_rate.untilAvailable(now));
   }
   ++record.online_in_flight;
   return okStatus();
--- a/src/request/limits/tenant_limiter.hpp
+++ b/src/request/limits/tenant_limiter.hpp
@@ -14,17 +14,19 @@
 namespace hatchfork::request {
 
 /// Enforces this gateway's share of each tenant's fleet-wide limits: limit / live gateways, rounded up to at least one.
-/// A refusal is `kRateLimited`, `Executed::kNo`, with the time after which a retry has a chance. Thread-compatible: one
-/// object for a gateway, guarded by its owner, or one for each traffic thread with the threads counted as gateways.
+/// A rejection is `kRateLimited` with `Executed::kNo` and the time after which a retry may succeed. Thread-compatible:
+/// use one object per gateway, guarded by its owner, or one per traffic thread with the threads counted as gateways.
 class TenantLimiter {
  public:
-  /// Takes new limits and gateway count; work in flight stays counted.
+  /// Sets the limits and the number of gateways. Requests in flight stay counted.
   void configure(const TenantId& tenant, const TenantLimits& limits, std::uint32_t live_gateways);
+  /// Rejects further requests of the tenant; its requests in flight stay counted until they are released.
   void remove(const TenantId& tenant);
   /// Removes every tenant for which `keep` is false.
   void removeUnless(const std::function<bool(const TenantId&)>& keep);
 
-  /// Admits one request or batch item; every success is followed by one `release`.
+  /// Admits one request or batch item. Every success must be followed by one `release`. Returns `kPermissionDenied` for
+  /// a tenant that is not configured.
   Status acquire(Instant now, const TenantId& tenant, Urgency urgency);
   void release(const TenantId& tenant, Urgency urgency);
   std::uint32_t inFlight(const TenantId& tenant, Urgency urgency) const;
--- a/src/request/limits/token_bucket.hpp
+++ b/src/request/limits/token_bucket.hpp
@@ -6,17 +6,18 @@
 
 namespace hatchfork::request {
 
-/// Admits `rate` units a second with bursts of up to `burst` units. A rate of zero means unlimited.
+/// Token bucket that admits `rate` units per second and bursts of up to `burst` units. A rate of zero means unlimited.
+/// Callers pass the current time. Not thread-safe.
 class TokenBucket {
  public:
   TokenBucket() = default;
   TokenBucket(double rate, double burst);
 
-  /// Changes the rate and keeps the units left, cut to the new burst.
+  /// Changes the rate. The remaining units are kept, up to the new burst.
   void configure(double rate, double burst);
-  /// Takes one unit if there is one.
+  /// Takes one unit; returns false if none is available.
   bool tryTake(Instant now);
-  /// Time until one unit is there; zero when there is one now.
+  /// Time until one unit is available; zero if one is available now.
   Duration untilAvailable(Instant now) const;
 
  private:
--- a/tests/request/limits/drain_meter_test.cpp
+++ b/tests/request/limits/drain_meter_test.cpp
@@ -5,7 +5,7 @@
 using namespace hatchfork;
 using namespace hatchfork::request;
 
-TEST_CASE("a drain meter comes close to a steady rate and forgets it", "[limits]") {
+TEST_CASE("a drain meter converges to a steady rate and decays without work", "[limits]") {
   DrainMeter meter;
   Instant now{};
   for (int i = 0; i < 400; ++i) {
@@ -17,7 +17,7 @@
   REQUIRE(meter.rate(now + std::chrono::seconds(40)) < 1);
 }
 
-TEST_CASE("the times that a drain meter tells are bounded", "[limits]") {
+TEST_CASE("the estimates of a drain meter are bounded", "[limits]") {
   DrainMeter meter;
   const Instant now{};
   REQUIRE(meter.timeToDrain(now, 10) == std::chrono::seconds(20));
--- a/tests/request/limits/limits_test.cpp
+++ b/tests/request/limits/limits_test.cpp
@@ -11,7 +11,7 @@
   return Instant(fromMillis(milliseconds));
 }
 
-TEST_CASE("a gateway enforces its share of a tenant's rate and says when to come back", "[limits]") {
+TEST_CASE("a gateway enforces its share of a tenant's rate and returns a retry time", "[limits]") {
   TenantLimiter limiter;
   const TenantId tenant("crew");
   TenantLimits limits;
@@ -28,7 +28,7 @@
   CHECK_FALSE(isOk(limiter.acquire(later, tenant, Urgency::kOnline)));
 }
 
-TEST_CASE("online and batch work of a tenant are counted apart and survive new limits", "[limits]") {
+TEST_CASE("online and batch requests of a tenant are counted separately and across limit changes", "[limits]") {
   TenantLimiter limiter;
   const TenantId tenant("crew");
   TenantLimits limits;
@@ -49,7 +49,7 @@
   CHECK(errorOf(unknown).kind == ErrorKind::kPermissionDenied);
 }
 
-TEST_CASE("the concurrency limit shrinks on slow first tokens and grows back only in use", "[limits]") {
+TEST_CASE("the concurrency limit decreases on slow first tokens and increases only while in use", "[limits]") {
   AdaptiveConcurrencyOptions options;
   options.initial = 16;
   options.highest = 32;
@@ -68,7 +68,7 @@
   CHECK(concurrency.mayStart(0));
 }
 
-TEST_CASE("a deadline that cannot be met is refused at once", "[limits]") {
+TEST_CASE("a request whose deadline cannot be met is rejected immediately", "[limits]") {
   DeadlineGate gate;
   CHECK(isOk(gate.check(at(0), at(10))));
   CHECK_FALSE(isOk(gate.check(at(10), at(10))));
--- a/tests/request/limits/rate_limit_property_test.cpp
+++ b/tests/request/limits/rate_limit_property_test.cpp
@@ -13,8 +13,8 @@
 
 const TenantId kCrew("crew");
 
-/// A tenant's limit over some gateways on virtual time: callers press beyond the limit, gateways restart, answers are
-/// lost or late, the owner is replaced. Counts what is admitted in every window.
+/// Simulates the rate limit of one tenant over several gateways in virtual time: callers exceed the limit, gateways
+/// restart, the owner is unreachable or replaced. Counts the requests admitted in each window.
 class LimitedFleet {
  public:
   LimitedFleet(std::size_t gateways, RateLimitOptions options, TenantLimits limits)
@@ -31,7 +31,7 @@
       if (account.isCutOff(now_) && account.tryTakeOwnPart(now_)) admit();
       return;
     }
-    if (owner_lost_) {
+    if (owner_unreachable_) {
       account.noteNoAnswer(now_, limits_);
       if (account.tryTakeOwnPart(now_)) admit();
       return;
@@ -40,7 +40,7 @@
     if (account.tryTake(now_)) admit();
   }
 
-  void pass(Duration time) {
+  void advance(Duration time) {
     now_ += time;
     while (!admitted_.empty() && admitted_.front() <= now_ - options_.window) admitted_.pop_front();
   }
@@ -49,8 +49,10 @@
     owner_ = RateLimitOwner(options_);
     owner_.noteTakeover(now_);
   }
-  void loseOwner(bool lost) { owner_lost_ = lost; }
+  void setOwnerUnreachable(bool lost) { owner_unreachable_ = lost; }
+  /// Number of requests admitted in the window that ends now.
   std::size_t inWindow() const { return admitted_.size(); }
+  /// Largest number of requests admitted in any window.
   std::size_t most() const { return most_; }
   std::size_t total() const { return total_; }
 
@@ -69,7 +71,7 @@
   std::deque<Instant> admitted_;
   std::size_t most_ = 0;
   std::size_t total_ = 0;
-  bool owner_lost_ = false;
+  bool owner_unreachable_ = false;
 };
 
 double allowed(const RateLimitOptions& options, const TenantLimits& limits) {
@@ -85,13 +87,13 @@
 
 }  // namespace
 
-TEST_CASE("no window sees more than the limit and its tolerance while gateways restart", "[limits][rate][property]") {
+TEST_CASE("admissions per window stay within limit and tolerance while gateways restart", "[limits][rate][property]") {
   const bool holds = hatchfork::testing::holds([] {
     const RateLimitOptions options{std::chrono::seconds(5), 20};
     const TenantLimits limits = drawLimits();
     LimitedFleet fleet(*rc::gen::inRange<std::size_t>(1, 60), options, limits);
     for (int step = 0; step < 1500; ++step) {
-      fleet.pass(fromMillis(*rc::gen::inRange(1, 12)));
+      fleet.advance(fromMillis(*rc::gen::inRange(1, 12)));
       const std::size_t arrivals = *rc::gen::inRange<std::size_t>(0, 8);
       for (std::size_t index = 0; index < arrivals; ++index) fleet.arrive(*rc::gen::arbitrary<std::uint16_t>());
       if (*rc::gen::inRange(0, 100) == 0) fleet.restart(*rc::gen::arbitrary<std::uint16_t>());
@@ -101,7 +103,7 @@
   REQUIRE(holds);
 }
 
-TEST_CASE("no window sees more than the limit and its tolerance when an owner is replaced",
+TEST_CASE("admissions per window stay within limit and tolerance when the owner is replaced",
           "[limits][rate][property]") {
   const bool holds = hatchfork::testing::holds([] {
     const RateLimitOptions options{std::chrono::seconds(5), 20};
@@ -109,7 +111,7 @@
     LimitedFleet fleet(*rc::gen::inRange<std::size_t>(1, 60), options, limits);
     const int replaced_at = *rc::gen::inRange(100, 1200);
     for (int step = 0; step < 1500; ++step) {
-      fleet.pass(fromMillis(*rc::gen::inRange(1, 12)));
+      fleet.advance(fromMillis(*rc::gen::inRange(1, 12)));
       if (step == replaced_at) fleet.replaceOwner();
       const std::size_t arrivals = *rc::gen::inRange<std::size_t>(0, 8);
       for (std::size_t index = 0; index < arrivals; ++index) fleet.arrive(*rc::gen::arbitrary<std::uint16_t>());
@@ -119,18 +121,18 @@
   REQUIRE(holds);
 }
 
-TEST_CASE("what lies below the limit is admitted, however few or many the gateways", "[limits][rate][property]") {
+TEST_CASE("traffic below the limit is admitted for any number of gateways", "[limits][rate][property]") {
   const bool holds = hatchfork::testing::holds([] {
     const RateLimitOptions options{std::chrono::seconds(5), 20};
     TenantLimits limits = drawLimits();
     limits.online_requests_per_second += 9;
     limits.online_burst = limits.online_requests_per_second;
     LimitedFleet fleet(*rc::gen::inRange<std::size_t>(1, 60), options, limits);
-    // Six tenths of the limit, one request after the other.
+    // Evenly spaced requests at 60 % of the limit.
     const Duration gap(static_cast<Duration::rep>(1e6 / (0.6 * limits.online_requests_per_second)));
     std::size_t sent = 0;
     for (; sent < 600; ++sent) {
-      fleet.pass(gap);
+      fleet.advance(gap);
       fleet.arrive(*rc::gen::arbitrary<std::uint16_t>());
     }
     RC_ASSERT(fleet.total() == sent);
@@ -138,23 +140,23 @@
   REQUIRE(holds);
 }
 
-TEST_CASE("gateways without their owner stay within the limit together", "[limits][rate][property]") {
+TEST_CASE("gateways together stay within the limit while the owner is unreachable", "[limits][rate][property]") {
   const RateLimitOptions options{std::chrono::seconds(5), 20};
   TenantLimits limits;
   limits.online_requests_per_second = 100;
   limits.online_burst = 100;
   LimitedFleet fleet(50, options, limits);
   std::size_t gateway = 0;
-  const auto press = [&](int milliseconds) {
+  const auto sendFor = [&](int milliseconds) {
     for (int step = 0; step < milliseconds; step += 2) {
-      fleet.pass(fromMillis(2));
+      fleet.advance(fromMillis(2));
       fleet.arrive(gateway += 7);
     }
   };
-  press(8000);
-  fleet.loseOwner(true);
-  press(8000);
-  fleet.loseOwner(false);
-  press(8000);
+  sendFor(8000);
+  fleet.setOwnerUnreachable(true);
+  sendFor(8000);
+  fleet.setOwnerUnreachable(false);
+  sendFor(8000);
   REQUIRE(static_cast<double>(fleet.most()) <= allowed(options, limits));
 }
--- a/tests/request/limits/rate_limit_test.cpp
+++ b/tests/request/limits/rate_limit_test.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("an owner grants the burst, then the rate, and says when there will be more", "[limits][rate]") {
+TEST_CASE("an owner grants the burst, then the rate, and returns the time until the next credit", "[limits][rate]") {
   RateLimitOwner owner(withSlack(0));
   const TenantLimits limits = limitOf(10, 5);
   REQUIRE(owner.answer(at(0), kCrew, limits, CreditQuestion{8}).granted == 5);
@@ -41,29 +41,29 @@
   REQUIRE(owner.answer(at(400), kCrew, limits, CreditQuestion{3}).granted == 3);
 }
 
-TEST_CASE("a lower limit binds at once, and a raised one too", "[limits][rate]") {
+TEST_CASE("lowered and raised limits apply immediately", "[limits][rate]") {
   RateLimitOwner owner(withSlack(0));
   owner.answer(at(0), kCrew, limitOf(100, 100), CreditQuestion{1});
   REQUIRE(owner.answer(at(10), kCrew, limitOf(2, 2), CreditQuestion{50}).granted == 2);
   REQUIRE(owner.answer(at(1010), kCrew, limitOf(40, 40), CreditQuestion{50}).granted == 40);
 }
 
-TEST_CASE("an owner that has just taken over begins nearly empty", "[limits][rate]") {
+TEST_CASE("buckets are nearly empty after a takeover", "[limits][rate]") {
   RateLimitOwner owner(withSlack(20));
   owner.noteTakeover(at(0));
   REQUIRE(owner.answer(at(100), kCrew, limitOf(50, 50), CreditQuestion{100}).granted == 15);
-  // Later nothing counts any more that the former owner granted.
+  // After one window, credits of the previous owner no longer count.
   REQUIRE(owner.answer(at(6000), TenantId("office"), limitOf(50, 50), CreditQuestion{100}).granted == 60);
 }
 
-TEST_CASE("a gateway holds credits ahead of its requests and loses them with time", "[limits][rate]") {
+TEST_CASE("a gateway prefetches credits, and unused credits expire", "[limits][rate]") {
   RateLimitAccount account;
   for (int index = 0; index < 40; ++index) account.noteArrival(at(index * 25));
   REQUIRE_FALSE(account.tryTake(at(1000)));
   const auto question = account.nextQuestion(at(1000), 1);
   REQUIRE(question);
   REQUIRE(question->wanted > 5);
-  // One question at a time.
+  // Only one credit request is in flight at a time.
   REQUIRE_FALSE(account.nextQuestion(at(1001), 1));
   account.noteAnswer(at(1002), CreditAnswer{question->wanted, 40, 0.5, {}});
   REQUIRE(account.tryTake(at(1003)));
@@ -72,13 +72,13 @@
   REQUIRE_FALSE(account.tryTake(at(1500)));
 }
 
-TEST_CASE("a lone request asks for no credit but its own", "[limits][rate]") {
+TEST_CASE("a single request requests one credit only", "[limits][rate]") {
   RateLimitAccount account;
   account.noteArrival(at(0));
   REQUIRE(account.nextQuestion(at(0), 1)->wanted == 1);
 }
 
-TEST_CASE("credits of an answer that was given up are not used", "[limits][rate]") {
+TEST_CASE("credits of an answer that arrives after its time-out are not used", "[limits][rate]") {
   RateLimitAccount account;
   account.noteArrival(at(0));
   REQUIRE(account.nextQuestion(at(0), 1));
@@ -87,7 +87,7 @@
   REQUIRE_FALSE(account.tryTake(at(4001)));
 }
 
-TEST_CASE("over its limit a gateway refuses at once and asks again only after a pause", "[limits][rate]") {
+TEST_CASE("over the limit a gateway rejects immediately and requests credits only after a pause", "[limits][rate]") {
   RateLimitAccount account;
   account.noteArrival(at(0));
   REQUIRE(account.nextQuestion(at(0), 1));
@@ -98,8 +98,7 @@
   REQUIRE(account.nextQuestion(at(152), 1));
 }
 
-TEST_CASE("callers over the limit are sent back one after the other, at the rate that is left for them",
-          "[limits][rate]") {
+TEST_CASE("retry times of callers over the limit are spaced at the available rate", "[limits][rate]") {
   RateLimitAccount account;
   const TenantLimits limits = limitOf(10, 10);
   for (int index = 0; index < 50; ++index) {
@@ -116,18 +115,18 @@
   REQUIRE(account.comeBackAfter(at(5000), limits) <= std::chrono::seconds(2));
 }
 
-TEST_CASE("without its owner a gateway admits its own part of what was used, and one request where it knows none",
+TEST_CASE("without its owner a gateway admits its share of the usage, or one request if no usage was received",
           "[limits][rate]") {
   const TenantLimits limits = limitOf(40, 40);
-  RateLimitAccount stranger;
-  stranger.noteArrival(at(0));
-  stranger.nextQuestion(at(0), 1);
-  stranger.noteNoAnswer(at(60), limits);
-  REQUIRE(stranger.isCutOff(at(100)));
-  REQUIRE(stranger.tryTakeOwnPart(at(100)));
-  REQUIRE_FALSE(stranger.tryTakeOwnPart(at(2000)));
-
-  // Half of the use is this gateway's: 10 of 20 requests a second.
+  RateLimitAccount without_usage;
+  without_usage.noteArrival(at(0));
+  without_usage.nextQuestion(at(0), 1);
+  without_usage.noteNoAnswer(at(60), limits);
+  REQUIRE(without_usage.isCutOff(at(100)));
+  REQUIRE(without_usage.tryTakeOwnPart(at(100)));
+  REQUIRE_FALSE(without_usage.tryTakeOwnPart(at(2000)));
+
+  // This gateway has half of the usage: 10 of 20 requests per second.
   RateLimitAccount half;
   for (int index = 0; index < 200; ++index) {
     const Instant now = at(index * 100);
@@ -140,15 +139,15 @@
   for (int index = 0; index < 200; ++index) {
     if (half.tryTakeOwnPart(at(20000 + index * 10))) ++admitted;
   }
-  // Two seconds of half of 40 a second, and a fifth of a second of it at once.
+  // Two seconds at half of 40 requests per second, and a burst worth 0.2 s of that rate.
   REQUIRE(admitted >= 40);
   REQUIRE(admitted <= 46);
 }
 
-// A tenant's traffic rose to eleven times its usual while all stores were without power for two seconds. Each gateway
-// measured what it admitted now against the use that it had been told before, so its part grew with each request that
-// it admitted alone: 1,783 requests ran in five seconds where 1,564 were allowed.
-TEST_CASE("without its owner a gateway's part does not grow by what it admits", "[limits][rate]") {
+// Guards against a local share that grows while the owner is unreachable. If a gateway divides its current admission
+// rate by the older fleet-wide rate, each locally admitted request increases its share. With eleven times the usual
+// traffic and all stores down for two seconds, 1,783 requests ran in five seconds where 1,564 were allowed.
+TEST_CASE("the local share of a gateway does not grow while the owner is unreachable", "[limits][rate]") {
   const TenantLimits limits = limitOf(40, 40);
   RateLimitAccount half;
   for (int index = 0; index < 200; ++index) {
@@ -164,12 +163,12 @@
     if (index % 30 == 0) half.noteNoAnswer(now, limits);
     if (half.tryTakeOwnPart(now)) ++admitted;
   }
-  // Five seconds of half of 40 a second, and a fifth of a second of it at once.
+  // Five seconds at half of 40 requests per second, and a burst worth 0.2 s of that rate.
   REQUIRE(admitted >= 95);
   REQUIRE(admitted <= 106);
 }
 
-TEST_CASE("each tenant has one owner, and a store that leaves moves only its own tenants", "[limits][rate]") {
+TEST_CASE("each tenant has one owner, and removing a store reassigns only its own tenants", "[limits][rate]") {
   const std::vector<ReplicaId> all = {ReplicaId("10.0.0.1"), ReplicaId("10.0.0.2"), ReplicaId("10.0.0.3")};
   const std::vector<ReplicaId> fewer = {all[2], all[0]};
   std::size_t owned_by_second = 0;
