--- a/src/request/batch/batch_admission.cpp
+++ b/src/request/batch/batch_admission.cpp
@@ -10,10 +10,10 @@
 namespace hatchfork::request {
 namespace {
 
-/// About how many tokens an engine reads again when the attempt is resumed there. Whole cache blocks are kept: behind
-/// the first whole block of the answer only the tokens since the last one are lost, before it also the end of the
-/// prompt, and a prompt that is not read yet is lost altogether.
-std::uint32_t pauseCost(bool starting, std::uint32_t tokens) {
+/// Estimates how many tokens an engine must process again when the attempt is resumed there. The engine caches whole
+/// blocks only: after the first whole block of the answer, the tokens since the last whole block are lost; before it,
+/// also the end of the prompt. A prompt that has not been processed yet is lost entirely.
+std::uint32_t resumeCost(bool starting, std::uint32_t tokens) {
   if (starting) return 4 * kPromptBlockTokens;
   if (tokens < kPromptBlockTokens) return kPromptBlockTokens / 2 + tokens;
   return tokens % kPromptBlockTokens;
@@ -34,9 +34,9 @@
     const bool known = found != engines_.end();
     EngineRecord& record = known ? found->second : engines_[engine.id];
     if (!known) {
-      record.others = OthersLoad(options_.others_load);
+      record.peer_load = OthersLoad(options_.peer_load_options);
       record.limit = engine.slots;
-      record.grown_at = now;
+      record.limit_raised_at = now;
     }
     record.slots = engine.slots;
     record.leaving = engine.drained_by_operator || engine.leaving_platform;
@@ -44,7 +44,7 @@
   for (const std::size_t position : ownedEngines(*fleet, options_.self)) {
     engines_.at(fleet->engines[position].id).owned = true;
   }
-  // Only what is owned or still in use costs memory.
+  // Drops engines that are neither owned nor in use, to bound memory.
   std::erase_if(engines_, [](const auto& entry) {
     const EngineRecord& record = entry.second;
     return !record.owned && record.attempts.empty() && record.online_in_flight == 0;
@@ -56,11 +56,11 @@
   if (found == engines_.end()) return;
   EngineRecord& record = found->second;
   record.report = report;
-  record.others.recordReport(now, report.online_running + report.online_queued, record.online_in_flight);
+  record.peer_load.recordReport(now, report.online_running + report.online_queued, record.online_in_flight);
 }
 
 std::uint32_t BatchAdmission::onlineLoad(Instant now, const EngineRecord& record) const {
-  return record.online_in_flight + static_cast<std::uint32_t>(std::lround(record.others.estimate(now)));
+  return record.online_in_flight + static_cast<std::uint32_t>(std::lround(record.peer_load.estimate(now)));
 }
 
 bool BatchAdmission::isUsable(Instant now, const EngineRecord& record) const {
@@ -75,7 +75,7 @@
 std::uint32_t BatchAdmission::allowed(Instant now, const EngineRecord& record) const {
   if (!isUsable(now, record)) return 0;
   const std::uint32_t idle = idleSlots(now, record);
-  // An engine that preempts makes room by itself: batch work in its slots costs online work nothing.
+  // A preempting engine frees slots itself: batch work in its slots does not delay online work.
   const std::uint32_t reserved = record.report.preempts_batch ? 0 : options_.reserved_slots;
   const std::uint32_t most = idle > reserved ? idle - reserved : 0;
   return std::min(most, static_cast<std::uint32_t>(record.limit));
@@ -90,22 +90,22 @@
 bool BatchAdmission::mayStart(const EngineRecord& record) const {
   const auto starting = std::count_if(record.attempts.begin(), record.attempts.end(),
                                       [](const RunningAttempt& attempt) { return attempt.starting; });
-  return record.online_waiting == 0 && starting < static_cast<std::ptrdiff_t>(options_.most_starting);
+  return record.online_waiting == 0 && starting < static_cast<std::ptrdiff_t>(options_.max_starting_attempts);
 }
 
-void BatchAdmission::grow(Instant now, EngineRecord& record) const {
-  const auto intervals = (now - record.grown_at) / options_.growth_interval;
+void BatchAdmission::raiseLimit(Instant now, EngineRecord& record) const {
+  const auto intervals = (now - record.limit_raised_at) / options_.growth_interval;
   if (intervals <= 0) return;
-  record.grown_at += options_.growth_interval * intervals;
+  record.limit_raised_at += options_.growth_interval * intervals;
   record.limit = std::min<double>(record.slots, record.limit + static_cast<double>(intervals));
 }
 
 void BatchAdmission::pauseAbove(EngineRecord& record, std::uint32_t most, std::vector<AttemptId>& paused) {
   while (record.attempts.size() > most) {
-    // Of equal ones the newest.
+    // The newest attempt among those of equal cost.
     const auto victim = std::min_element(
         record.attempts.rbegin(), record.attempts.rend(), [](const RunningAttempt& left, const RunningAttempt& right) {
-          return pauseCost(left.starting, left.tokens) < pauseCost(right.starting, right.tokens);
+          return resumeCost(left.starting, left.tokens) < resumeCost(right.starting, right.tokens);
         });
     engine_of_.erase(victim->id);
     paused.push_back(victim->id);
@@ -128,10 +128,10 @@
   if (found == engines_.end()) return;
   EngineRecord& record = found->second;
   if (record.online_waiting > 0) --record.online_waiting;
-  const bool batch_to_blame = !record.report.preempts_batch && !record.attempts.empty();
-  if (first_token <= options_.first_token_target || !batch_to_blame) return;
+  const bool delayed_by_batch = !record.report.preempts_batch && !record.attempts.empty();
+  if (first_token <= options_.first_token_target || !delayed_by_batch) return;
   record.limit = std::max(1.0, record.limit * options_.decrease);
-  record.grown_at = now;
+  record.limit_raised_at = now;
 }
 
 void BatchAdmission::endOnline(Instant now, const EngineId& engine, bool had_first_token) {
@@ -145,8 +145,8 @@
   if (forgotten) engines_.erase(found);
 }
 
-BatchAdmission::EngineRecord* BatchAdmission::waitsFor(Instant now, const PausedAt& paused) {
-  if (now - paused.at >= options_.return_patience) return nullptr;
+BatchAdmission::EngineRecord* BatchAdmission::engineToWaitFor(Instant now, const PausedAt& paused) {
+  if (now - paused.at >= options_.max_wait_for_cached_engine) return nullptr;
   const auto found = engines_.find(paused.engine);
   return found != engines_.end() && isUsable(now, found->second) ? &found->second : nullptr;
 }
@@ -158,8 +158,8 @@
 }
 
 std::optional<EngineId> BatchAdmission::admit(Instant now, AttemptId attempt, const std::optional<PausedAt>& paused) {
-  if (EngineRecord* last = paused ? waitsFor(now, *paused) : nullptr) {
-    grow(now, *last);
+  if (EngineRecord* last = paused ? engineToWaitFor(now, *paused) : nullptr) {
+    raiseLimit(now, *last);
     if (roomOn(now, *last) == 0 || !mayStart(*last)) return std::nullopt;
     return place(attempt, paused->engine, *last);
   }
@@ -167,7 +167,7 @@
   const EngineId* best_id = nullptr;
   std::uint32_t best_room = 0;
   for (auto& [id, record] : engines_) {
-    grow(now, record);
+    raiseLimit(now, record);
     const std::uint32_t room = roomOn(now, record);
     if (room <= best_room || !mayStart(record)) continue;
     best = &record;
@@ -205,7 +205,7 @@
 std::vector<AttemptId> BatchAdmission::tick(Instant now) {
   std::vector<AttemptId> paused;
   for (auto& [id, record] : engines_) {
-    grow(now, record);
+    raiseLimit(now, record);
     const bool usable = isUsable(now, record);
     if (usable && record.report.preempts_batch) continue;
     pauseAbove(record, usable ? idleSlots(now, record) : 0, paused);
--- a/src/request/batch/batch_admission.hpp
+++ b/src/request/batch/batch_admission.hpp
@@ -13,69 +13,73 @@
 
 namespace hatchfork::request {
 
-/// Names one running batch attempt inside a gateway; chosen by the caller, never reused.
+/// Identifies one running batch attempt within a gateway. Chosen by the caller and never reused.
 using AttemptId = std::uint64_t;
 
-/// Where an item that was paused ran last, and so probably still has its prompt and answer in the cache.
+/// Engine at which a paused item ran last, and which therefore probably still caches its prompt and answer.
 struct PausedAt {
   EngineId engine;
   Instant at;
 };
 
+/// Settings of `BatchAdmission`.
 struct BatchAdmissionOptions {
   GatewayId self;
-  /// Slots that new batch work leaves free on an engine that does not preempt, for online requests of any gateway.
-  /// Batch work that runs already is paused only when an online request finds no free slot at all.
+  /// Number of slots that new batch work leaves free for online requests of any gateway, on an engine that does not
+  /// preempt. Running batch work is paused only when an online request finds no free slot at all.
   std::uint32_t reserved_slots = 1;
-  /// Batch attempts that may wait for their first token at once on an engine. Their prompts are read in the same steps
-  /// as online prompts, and before those that come later: a heap of items on an idle engine would hold up the next
-  /// online request for the time of all their prompts.
-  std::uint32_t most_starting = 1;
-  /// After the limit of an engine shrank, it gets one more batch item each time this time passes.
+  /// Number of batch attempts per engine that may wait for their first token at the same time. An engine processes
+  /// their prompts in the same steps as online prompts and ahead of later ones: many items started at once on an idle
+  /// engine would delay the next online request by the processing time of all their prompts.
+  std::uint32_t max_starting_attempts = 1;
+  /// Interval at which the limit of an engine increases by one batch item after a decrease.
   Duration growth_interval = fromMillis(50);
-  OthersLoadOptions others_load;
-  /// How long a paused item waits for the engine that caches it.
-  Duration return_patience = fromMillis(10000);
-  /// Target of the online first token; samples above it shrink the batch limit of that engine by `decrease`.
+  OthersLoadOptions peer_load_options;
+  /// Longest time that a paused item waits for the engine that caches it.
+  Duration max_wait_for_cached_engine = fromMillis(10000);
+  /// Target of the online time to first token. A sample above the target multiplies the batch limit of its engine by
+  /// `decrease`.
   Duration first_token_target = fromMillis(360);
   double decrease = 0.7;
 };
 
-/// Decides, for one service of one gateway, how many batch items may run on each engine now and which must give way.
-/// Batch enters only slots that online work leaves idle, and only on engines this gateway owns (`ownedEngines`), while
-/// its knowledge of the live gateways is fresh. A paused attempt keeps its tokens and is later resumed at its offset,
-/// on any engine. One traffic thread.
+/// Decides, for one service of one gateway, how many batch items may run on each engine and which of them are
+/// preempted. Batch work uses only slots that online work leaves idle, and only on engines that this gateway owns
+/// (`ownedEngines`) while its list of live gateways is up to date. A paused attempt keeps its tokens and is later
+/// resumed at its offset, on any engine. Used by one traffic thread.
 class BatchAdmission {
  public:
   explicit BatchAdmission(BatchAdmissionOptions options);
 
-  /// Takes a new fleet version. `owned_until` bounds the ownership: the end of the gateway's configuration lease. A
-  /// gateway that was frozen past it places nothing and pauses what it runs until it is renewed.
+  /// Sets the fleet version. `owned_until` is the end of the ownership and of the configuration lease of the gateway. A
+  /// gateway that was frozen beyond this time places no items and pauses the running ones until the lease is renewed.
   void updateFleet(Instant now, const ServiceFleetPtr& fleet, Instant owned_until);
   void renewOwnership(Instant owned_until) { owned_until_ = owned_until; }
   void applyLoadReport(Instant now, const EngineId& engine, const LoadReport& report);
 
-  /// Call right before an online request is sent to the engine. Returns the batch attempts to pause at once (cancel the
-  /// stream, keep the tokens); they no longer count as running, `endBatch` must not be called for them.
+  /// Call directly before an online request is sent to the engine. Returns the batch attempts to pause immediately
+  /// (cancel the stream, keep the tokens). They no longer count as running; do not call `endBatch` for them.
   std::vector<AttemptId> beginOnline(Instant now, const EngineId& engine);
+  /// Records the first token of an online request; `first_token` is the time from dispatch to the first token.
   void recordOnlineFirstToken(Instant now, const EngineId& engine, Duration first_token);
-  /// `had_first_token` tells whether `recordOnlineFirstToken` was called for the request.
+  /// Records the end of an online request. `had_first_token`: true if `recordOnlineFirstToken` was called for the
+  /// request.
   void endOnline(Instant now, const EngineId& engine, bool had_first_token);
 
-  /// Places one batch item and counts it as running, or nothing when no engine has room for it. A paused item is placed
-  /// where it ran last; on other engines, which would have to read it again, only when that engine is gone or has had
-  /// no room for `return_patience`.
+  /// Places one batch item and counts it as running. Returns nothing if no engine has room. A paused item is placed on
+  /// the engine where it ran last. Another engine, which would have to process the prompt again, is chosen only if that
+  /// engine is gone or if the item has been paused for `max_wait_for_cached_engine`.
   std::optional<EngineId> admit(Instant now, AttemptId attempt, const std::optional<PausedAt>& paused = {});
-  /// A token of the attempt has come; `tokens` is the length of the answer now, earlier attempts included. True with
-  /// the attempt's first token: it no longer counts as starting, so that another one may start.
+  /// Records a token of the attempt. `tokens` is the length of the answer so far, earlier attempts included. Returns
+  /// true on the first token of the attempt: the attempt no longer counts as starting, so that another one may start.
   bool recordBatchToken(AttemptId attempt, std::uint32_t tokens);
-  /// The attempt ended by itself: completed or failed.
+  /// Records that the attempt completed or failed.
   void endBatch(Instant now, AttemptId attempt);
 
-  /// Call at least every 50 ms. Returns attempts to pause because of load reports, leaving engines or an ended
+  /// Call at least every 50 ms. Returns the attempts to pause because of load reports, engines that leave or the end of
   /// ownership.
   std::vector<AttemptId> tick(Instant now);
-  /// Items that could be placed now; how many to lease ahead.
+  /// Number of items that could be placed now; determines how many items to lease.
   std::uint32_t room(Instant now) const;
   std::uint32_t running() const { return static_cast<std::uint32_t>(engine_of_.size()); }
 
@@ -91,29 +95,32 @@
     bool owned = false;
     bool leaving = false;
     std::uint32_t online_in_flight = 0;
-    /// Own online requests that wait for their first token.
+    /// Online requests of this gateway that wait for their first token.
     std::uint32_t online_waiting = 0;
     LoadReport report;
-    OthersLoad others;
-    /// Upper bound steered by first-token times and by recent yielding.
+    OthersLoad peer_load;
+    /// Upper bound of the running attempts; adapts to the first-token times.
     double limit = 0;
-    Instant grown_at{};
-    /// Newest last.
+    Instant limit_raised_at{};
+    /// In order of their start, the newest last.
     std::vector<RunningAttempt> attempts;
   };
   std::uint32_t onlineLoad(Instant now, const EngineRecord& record) const;
   bool isUsable(Instant now, const EngineRecord& record) const;
-  /// Slots that online work does not hold.
+  /// Number of slots that online work does not use.
   std::uint32_t idleSlots(Instant now, const EngineRecord& record) const;
-  /// Batch attempts up to which new ones may start.
+  /// Largest number of batch attempts that may run if new ones start now.
   std::uint32_t allowed(Instant now, const EngineRecord& record) const;
-  /// Attempts that fit, whenever they may start.
+  /// Number of attempts that fit in addition to the running ones, regardless of `mayStart`.
   std::uint32_t roomOn(Instant now, const EngineRecord& record) const;
+  /// True if no online request waits for its first token and fewer than `max_starting_attempts` batch attempts do.
   bool mayStart(const EngineRecord& record) const;
-  /// The engine that the paused item should wait for, if it should.
-  EngineRecord* waitsFor(Instant now, const PausedAt& paused);
+  /// Returns the engine that the paused item must wait for, or null if any engine may be chosen.
+  EngineRecord* engineToWaitFor(Instant now, const PausedAt& paused);
   EngineId place(AttemptId attempt, const EngineId& engine, EngineRecord& record);
-  void grow(Instant now, EngineRecord& record) const;
+  /// Increases the limit by one for each `growth_interval` that has passed.
+  void raiseLimit(Instant now, EngineRecord& record) const;
+  /// Removes the attempts with the lowest cost of a restart until at most `most` are left; appends them to `paused`.
   void pauseAbove(EngineRecord& record, std::uint32_t most, std::vector<AttemptId>& paused);
 
   BatchAdmissionOptions options_;
--- a/src/request/batch/due_order.cpp
+++ b/src/request/batch/due_order.cpp
@@ -5,9 +5,9 @@
 namespace hatchfork::request {
 namespace {
 
-/// The items of a route differ in length, and their lengths are not known: a short one takes about this share of the
-/// time that is expected.
-constexpr double kShareOfTimeAtBest = 0.5;
+/// Fraction of the estimated time that a short item takes. The items of a route differ in length, and their lengths are
+/// unknown in advance.
+constexpr double kShortItemFraction = 0.5;
 
 }  // namespace
 
@@ -16,7 +16,7 @@
 }
 
 bool isHopeless(Instant now, const DueItem& item) {
-  const Duration at_best = std::chrono::duration_cast<Duration>(item.time_left * kShareOfTimeAtBest);
+  const Duration at_best = std::chrono::duration_cast<Duration>(item.time_left * kShortItemFraction);
   return item.due - now < at_best;
 }
 
@@ -24,7 +24,7 @@
   const bool left_hopeless = isHopeless(now, left);
   const bool right_hopeless = isHopeless(now, right);
   if (left_hopeless != right_hopeless) return right_hopeless;
-  // Without a due time `due` is the largest instant, which nothing can be added to.
+  // Without a due time, `due` is the largest instant, and adding to it would overflow.
   if (left.due == Instant::max() || right.due == Instant::max()) return left.due < right.due;
   return left.due + left.time_left < right.due + right.time_left;
 }
--- a/src/request/batch/due_order.hpp
+++ b/src/request/batch/due_order.hpp
@@ -4,33 +4,35 @@
 
 namespace hatchfork::request {
 
-/// What the order of batch items is decided by.
+/// Values that determine the order of batch items.
 struct DueItem {
-  /// When its result is due.
+  /// Time at which the result is due; `Instant::max()` if there is no due time.
   Instant due{};
-  /// What it will still take once it runs.
+  /// Estimated remaining run time.
   Duration time_left{};
 };
 
-/// Time that an item can still wait and be in time; negative once it can't be.
+/// Returns the longest time that an item can still wait and be finished in time; negative if the item will be late.
 Duration slackOf(Instant now, const DueItem& item);
 
-/// True if the item can't be in time even if it takes much less than expected.
+/// True if the item will be late even if it takes much less time than estimated.
 bool isHopeless(Instant now, const DueItem& item);
 
-/// True if `left` goes before `right`: items that can still be in time before those that can't, then by due time and
-/// time left together, the lesser sum first. Of two that are due alike the one that is nearly done goes first: where
-/// not all can be in time, more of them are. Items that can't be in time any more are not given up: they run where
-/// nothing else wants the slot.
+/// True if `left` is ordered before `right`. Items that can still be finished in time come before those that cannot;
+/// within each group, the smaller sum of due time and remaining time comes first. Of two items with the same due time,
+/// the one that is nearly done therefore comes first, so that more items are in time if not all can be. Items that can
+/// no longer be in time are not dropped: they run in slots that no other item needs.
 bool goesBefore(Instant now, const DueItem& left, const DueItem& right);
 
+/// Slack, as a multiple of the time of a whole run, between which the urgency of an item rises: zero from
+/// `relaxed_runs` upwards, one from `pressing_runs` downwards.
 struct UrgencyLimits {
-  /// An item is relaxed while its slack is above so many times the time of a whole run, and pressing below the lower.
   double relaxed_runs = 2.2;
   double pressing_runs = 0.5;
 };
 
-/// Zero for an item that can wait, or that is late whatever is done; one for an item that must run now.
+/// Returns the urgency of an item, from zero (the item can wait, or will be late in any case) to one (the item must run
+/// now). `whole_time`: estimated time of a whole run.
 double urgencyOf(Instant now, const DueItem& item, Duration whole_time, const UrgencyLimits& limits = {});
 
 }  // namespace hatchfork::request
--- a/src/request/batch/lease_demand.cpp
+++ b/src/request/batch/lease_demand.cpp
@@ -5,10 +5,12 @@
 namespace hatchfork::request {
 namespace {
 
+/// Number of items to keep ready in addition to the free room.
 constexpr std::uint32_t kLeaseAhead = 16;
-constexpr std::uint32_t kMostPerRequest = 512;
-/// Longer than most bursts of online work, so that items that only gave way to one stay and keep their tokens.
-constexpr Duration kLongestWait = fromMillis(5000);
+constexpr std::uint32_t kMaxItemsPerRequest = 512;
+/// Longer than most bursts of online work, so that items preempted by a burst stay at this gateway and keep their
+/// tokens.
+constexpr Duration kMaxWait = fromMillis(5000);
 
 bool mayPlace(const ServiceBatchLoad& load) {
   return load.room > 0 || load.running > 0;
@@ -19,7 +21,7 @@
 std::uint32_t itemsToLease(const ServiceBatchLoad& load) {
   if (!mayPlace(load)) return 0;
   const std::uint32_t wanted = load.room + std::max(kLeaseAhead, load.running / 2);
-  return wanted > load.ready ? std::min(wanted - load.ready, kMostPerRequest) : 0;
+  return wanted > load.ready ? std::min(wanted - load.ready, kMaxItemsPerRequest) : 0;
 }
 
 bool StrandedItems::update(Instant now, const ServiceBatchLoad& load) {
@@ -28,7 +30,7 @@
     return false;
   }
   if (!since_) since_ = now;
-  if (now - *since_ < kLongestWait) return false;
+  if (now - *since_ < kMaxWait) return false;
   since_.reset();
   return true;
 }
--- a/src/request/batch/lease_demand.hpp
+++ b/src/request/batch/lease_demand.hpp
@@ -9,29 +9,31 @@
 
 namespace hatchfork::request {
 
-/// Batch work of one service at this gateway.
+/// Batch load of one service at this gateway, in items.
 struct ServiceBatchLoad {
   ServiceId service;
-  /// Items that the service's engines could take now.
+  /// Items that the engines of the service could take now.
   std::uint32_t room = 0;
   std::uint32_t running = 0;
   /// Leased items that wait for an engine.
   std::uint32_t ready = 0;
 };
 
-/// How many more items of a service to lease. Only what its engines can take soon, with a few kept ready because idle
-/// capacity lasts seconds; nothing for a service on whose engines this gateway may place no batch work.
+/// Returns how many more items of a service to lease: as many as its engines can take soon, and a few in addition,
+/// because idle capacity may last only seconds. Zero if this gateway may place no batch work on the engines of the
+/// service.
 std::uint32_t itemsToLease(const ServiceBatchLoad& load);
 
-/// Watches for leased items that this gateway can't place: its engines of the service were given to another gateway, or
-/// left. They are to be given back, so that the engines' new owner can run them. One traffic thread.
+/// Detects leased items that this gateway cannot place because the engines of the service left or were assigned to
+/// another gateway. Such items are returned, so that the new owner of the engines can run them. Used by one traffic
+/// thread.
 class StrandedItems {
  public:
-  /// Call regularly with each service's load; true when its ready items are to be given back now.
+  /// Call regularly with the load of the service. Returns true if its ready items are to be returned now.
   bool update(Instant now, const ServiceBatchLoad& load);
 
  private:
-  /// Since when ready items have had neither room nor a running neighbour.
+  /// Time since which there have been ready items but neither room nor running items.
   std::optional<Instant> since_;
 };
 
--- a/src/request/batch/lease_pacer.hpp
+++ b/src/request/batch/lease_pacer.hpp
@@ -6,38 +6,43 @@
 
 namespace hatchfork::request {
 
+/// Intervals of the lease requests.
 struct LeasePacerOptions {
-  /// Leases are renewed this often, whether or not more items are wanted.
+  /// Interval of lease renewals, regardless of whether more items are needed.
   Duration renew_interval = fromMillis(1000);
-  /// Pause between two requests for items after one that brought some, and after one that brought none.
+  /// Pause after a request that returned items.
   Duration busy_interval = fromMillis(50);
+  /// Pause after a request that returned no items.
   Duration idle_interval = fromMillis(500);
+  /// Pause after a failed request.
   Duration failure_pause = fromMillis(200);
 };
 
-/// Decides when a gateway asks one batch group for items; `itemsToLease` tells for how many. Renewals and requests for
-/// items have clocks of their own: a renewal while nothing is wanted does not put off the next request. One traffic
-/// thread.
+/// Decides when a gateway sends a lease request to one batch group; `itemsToLease` determines the number of items.
+/// Renewals and requests for items are timed independently: a renewal while no items are needed does not delay the next
+/// request for items. Used by one traffic thread.
 class LeasePacer {
  public:
   explicit LeasePacer(LeasePacerOptions options = {}) : options_(options) {}
 
-  /// Whether to send a request now; `wants_items` tells whether it would ask for some. None is due while one is under
-  /// way.
-  bool isDue(Instant now, bool wants_items, bool holds_items) const;
-  /// The group has items again: the pause after a request that brought none ends.
-  void askAtOnce() { ask_again_at_ = Instant{}; }
+  /// True if a request is to be sent now; never while one is in flight. `needs_items`: the request would ask for items;
+  /// `holds_items`: there are leases to renew.
+  bool isDue(Instant now, bool needs_items, bool holds_items) const;
+  /// Ends the pause after a request without items, because the group has items again.
+  void askAtOnce() { next_request_at_ = Instant{}; }
 
-  void recordSent(Instant now, bool wants_items);
-  void recordReply(Instant now, bool brought_items);
+  /// Records that a request was sent. `needs_items`: the request asks for items.
+  void recordSent(Instant now, bool needs_items);
+  void recordReply(Instant now, bool has_items);
   void recordFailure(Instant now);
 
  private:
   LeasePacerOptions options_;
   std::optional<Instant> sent_at_;
-  Instant ask_again_at_{};
+  Instant next_request_at_{};
   bool in_flight_ = false;
-  bool asked_ = false;
+  /// True if the last request asked for items.
+  bool requested_items_ = false;
 };
 
 }  // namespace hatchfork::request
--- a/src/request/batch/run_time_model.hpp
+++ b/src/request/batch/run_time_model.hpp
@@ -6,41 +6,42 @@
 
 namespace hatchfork::request {
 
+/// Parameters of `RunTimeModel`.
 struct RunTimeModelLimits {
-  /// Weight of a new observation against all older ones.
+  /// Weight of a new observation in the moving average.
   double learning_rate = 0.1;
-  /// Runs with fewer events than this tell little of the pace.
-  std::uint64_t fewest_events = 20;
-  /// One observation is taken to differ from what is known by this factor at most.
-  double most_surprise = 2;
-  /// An item that has made as many events as most do is taken to need this share of a whole run still.
-  double least_share_left = 0.15;
-  /// What a start costs beside the events.
+  /// Runs with fewer events than this are too short for an estimate of the time per event.
+  std::uint64_t min_events = 20;
+  /// Observations are clamped to the average divided and multiplied by this factor.
+  double max_outlier_ratio = 2;
+  /// Lower bound of the remaining events, as a fraction of a whole run, for items with more events than the average.
+  double min_remaining_fraction = 0.15;
+  /// Time to start a run, in addition to its events.
   Duration start_cost = fromMillis(100);
 };
 
-/// How long runs of batch items take, learned from those that were seen: the pace of their events and how many there
-/// are in a whole one. Before that a guess stands in their place. No clock. Belongs to one thread.
+/// Estimates the run times of batch items from moving averages of the time per event and of the number of events in a
+/// whole run. Before the first observation, an initial estimate is used. Callers pass all times. Not thread-safe.
 class RunTimeModel {
  public:
   explicit RunTimeModel(RunTimeModelLimits limits = {}) : limits_(limits) {}
 
-  /// What a whole run is taken to last while none was seen.
-  void setGuess(Duration whole_time) { guess_ = whole_time; }
-  /// A run has made so many events in so long, from its first one on.
+  /// Sets the time of a whole run that is assumed until the first observation.
+  void setGuess(Duration whole_time) { initial_estimate_ = whole_time; }
+  /// Records a run that produced `events` events within `taken`, counted from its first event.
   void notePace(std::uint64_t events, Duration taken);
-  /// An item is whole with so many events over all its runs.
+  /// Records an item that was completed with `events` events over all its runs.
   void noteWhole(std::uint64_t events);
-  /// What an item that has made so many events will still take.
+  /// Estimated remaining run time of an item that has produced `events_made` events.
   Duration timeLeft(std::uint64_t events_made) const;
-  /// What an item takes from its start to its end.
+  /// Estimated run time of an item from start to end.
   Duration wholeTime() const { return timeLeft(0); }
 
  private:
-  void learn(double& mean, double value) const;
+  void updateMean(double& mean, double value) const;
 
   RunTimeModelLimits limits_;
-  Duration guess_{};
+  Duration initial_estimate_{};
   double event_ms_ = 0;
   double whole_events_ = 0;
 };
--- a/tests/request/batch/batch_admission_test.cpp
+++ b/tests/request/batch/batch_admission_test.cpp
@@ -29,7 +29,7 @@
     options.reserved_slots = 1;
     return options;
   }
-  /// Starts attempts, each after the first token of the one before, until no more fit.
+  /// Starts attempts until no more fit, each after the first token of the previous one.
   std::uint32_t fill(Instant now) {
     while (admission.admit(now, next)) admission.recordBatchToken(next++, 1);
     return admission.running();
@@ -42,10 +42,10 @@
   }
 };
 
-TEST_CASE("batch fills idle slots, gives way at once and grows back", "[batch]") {
+TEST_CASE("batch work fills idle slots, is preempted immediately and refills freed slots", "[batch]") {
   Fixture fixture;
   CHECK(fixture.fill(at(0)) == 15);
-  // The reserved slot takes the first request; for each further one the newest attempt leaves its slot.
+  // The first request takes the reserved slot; each further one preempts the newest attempt.
   CHECK(fixture.admission.beginOnline(at(100), kEngine).empty());
   CHECK(fixture.admission.beginOnline(at(100), kEngine) == std::vector<AttemptId>{15});
   CHECK(fixture.admission.beginOnline(at(100), kEngine) == std::vector<AttemptId>{14});
@@ -62,7 +62,7 @@
   CHECK(fixture.fill(at(1200)) == 15);
 }
 
-TEST_CASE("online work never finds a slot taken by batch, up to all of them", "[batch]") {
+TEST_CASE("batch work is paused for each online request, up to all slots", "[batch]") {
   Fixture fixture;
   fixture.fill(at(0));
   for (std::uint32_t online = 1; online <= 20; ++online) {
@@ -73,7 +73,7 @@
   CHECK(fixture.fill(at(100)) == 0);
 }
 
-TEST_CASE("a preempting engine keeps its batch work and a full one gets no more", "[batch]") {
+TEST_CASE("a preempting engine keeps its batch work and a full engine gets no more", "[batch]") {
   Fixture fixture;
   fixture.report(at(0), 0, true);
   CHECK(fixture.fill(at(0)) == 16);
@@ -83,7 +83,7 @@
   CHECK(fixture.fill(at(40)) == 15);
 }
 
-TEST_CASE("online work of other gateways shows in load reports and pauses batch work", "[batch]") {
+TEST_CASE("online work of other gateways in load reports pauses batch work", "[batch]") {
   Fixture fixture;
   fixture.fill(at(0));
   fixture.report(at(10), 10, false);
@@ -95,7 +95,7 @@
   CHECK(fixture.fill(at(5000)) == 15);
 }
 
-TEST_CASE("first tokens above the target shrink the limit", "[batch]") {
+TEST_CASE("first tokens above the target decrease the limit", "[batch]") {
   Fixture fixture;
   fixture.fill(at(0));
   fixture.admission.beginOnline(at(0), kEngine);
@@ -107,7 +107,7 @@
   CHECK(fixture.fill(at(3000)) == 15);
 }
 
-TEST_CASE("a frozen gateway whose ownership ran out places nothing and pauses what it ran", "[batch][freeze]") {
+TEST_CASE("a frozen gateway whose ownership expired places no items and pauses the running ones", "[batch][freeze]") {
   Fixture fixture;
   fixture.fill(at(0));
   CHECK(fixture.admission.room(at(100001)) == 0);
@@ -117,7 +117,7 @@
   CHECK(fixture.fill(at(100002)) == 15);
 }
 
-TEST_CASE("leaving engines and engines of another owner give batch work back", "[batch][leaving]") {
+TEST_CASE("batch work on leaving engines and on engines of another owner is paused", "[batch][leaving]") {
   for (int cause = 0; cause < 4; ++cause) {
     Fixture fixture;
     fixture.fill(at(0));
@@ -144,26 +144,26 @@
   admission.recordBatchToken(1, 1);
   const PausedAt paused{kEngine, at(0)};
   CHECK(admission.admit(at(0), 2, paused) == kEngine);
-  // While that engine is full, the item waits for it and others take the room elsewhere.
+  // While that engine is full, the item waits for it, and other items are placed elsewhere.
   for (int online = 0; online < 16; ++online) admission.beginOnline(at(1), kEngine);
   CHECK_FALSE(admission.admit(at(2), 3, paused));
   CHECK(admission.admit(at(2), 4) == EngineId("larger"));
   admission.recordBatchToken(4, 1);
   CHECK(admission.admit(at(10000), 5, paused) == EngineId("larger"));
-  // An engine that leaves is not waited for.
+  // The item does not wait for an engine that leaves.
   admission.recordBatchToken(5, 1);
   fleet.engines[0].leaving_platform = true;
   admission.updateFleet(at(20), std::make_shared<const ServiceFleet>(fleet), at(20000));
   CHECK(admission.admit(at(30), 6, paused) == EngineId("larger"));
 }
 
-TEST_CASE("the attempt that loses least is paused", "[batch][resume]") {
+TEST_CASE("the attempt that loses the fewest tokens is paused", "[batch][resume]") {
   Fixture fixture;
   fixture.fill(at(0));
   for (AttemptId attempt = 1; attempt <= 15; ++attempt) {
     fixture.admission.recordBatchToken(attempt, static_cast<std::uint32_t>(20 + attempt));
   }
-  // Behind its first whole block of 64 tokens an answer loses only what came since.
+  // After the first whole block of 64 tokens, only the tokens since the last whole block are lost.
   fixture.admission.recordBatchToken(7, 66);
   fixture.admission.recordBatchToken(8, 128);
   fixture.admission.beginOnline(at(1), kEngine);
@@ -172,7 +172,7 @@
   CHECK(fixture.admission.beginOnline(at(1), kEngine) == std::vector<AttemptId>{1});
 }
 
-TEST_CASE("batch prompts are read one by one, and not while an online request waits", "[batch]") {
+TEST_CASE("batch prompts are processed one at a time, and not while an online request waits", "[batch]") {
   Fixture fixture;
   CHECK(fixture.admission.admit(at(0), 1));
   CHECK_FALSE(fixture.admission.admit(at(0), 2));
--- a/tests/request/batch/lease_demand_test.cpp
+++ b/tests/request/batch/lease_demand_test.cpp
@@ -11,7 +11,7 @@
   return ServiceBatchLoad{ServiceId("timesheet"), room, running, ready};
 }
 
-TEST_CASE("a gateway leases what its engines can take and a little ahead", "[lease_demand]") {
+TEST_CASE("a gateway leases what its engines can take and a few items in addition", "[lease_demand]") {
   CHECK(itemsToLease(loadOf(8, 0, 0)) == 24);
   CHECK(itemsToLease(loadOf(8, 0, 10)) == 14);
   CHECK(itemsToLease(loadOf(0, 100, 10)) == 40);
@@ -19,11 +19,11 @@
   CHECK(itemsToLease(loadOf(5000, 0, 0)) == 512);
 }
 
-TEST_CASE("a gateway leases nothing of a service whose engines are not its own", "[lease_demand]") {
+TEST_CASE("a gateway leases no items of a service whose engines it does not own", "[lease_demand]") {
   CHECK(itemsToLease(loadOf(0, 0, 0)) == 0);
 }
 
-TEST_CASE("ready items that cannot be placed for long are given back", "[lease_demand]") {
+TEST_CASE("ready items that cannot be placed for a long time are returned", "[lease_demand]") {
   StrandedItems stranded;
   CHECK_FALSE(stranded.update(kStart, loadOf(0, 0, 3)));
   CHECK_FALSE(stranded.update(kStart + fromMillis(4900), loadOf(0, 0, 3)));
--- a/tests/request/batch/lease_pacer_test.cpp
+++ b/tests/request/batch/lease_pacer_test.cpp
@@ -9,7 +9,7 @@
   return Instant(fromMillis(milliseconds));
 }
 
-TEST_CASE("a renewal does not put off the next request for items", "[batch][lease]") {
+TEST_CASE("a renewal does not delay the next request for items", "[batch][lease]") {
   LeasePacer pacer;
   CHECK(pacer.isDue(at(0), false, true));
   pacer.recordSent(at(0), false);
@@ -19,7 +19,7 @@
   CHECK(pacer.isDue(at(6), true, true));
 }
 
-TEST_CASE("requests follow quickly while items come and slowly when none do", "[batch][lease]") {
+TEST_CASE("requests are frequent while items are returned and rare otherwise", "[batch][lease]") {
   LeasePacer pacer;
   CHECK_FALSE(pacer.isDue(at(0), false, false));
   pacer.recordSent(at(0), true);
@@ -36,7 +36,7 @@
   CHECK(pacer.isDue(at(3760), false, true));
 }
 
-TEST_CASE("news of items ends the pause after a request that brought none", "[batch][lease]") {
+TEST_CASE("a notification of new items ends the pause after a request without items", "[batch][lease]") {
   LeasePacer pacer;
   pacer.recordSent(at(0), true);
   pacer.recordReply(at(5), false);
--- a/tests/request/batch/run_time_model_test.cpp
+++ b/tests/request/batch/run_time_model_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr Instant kNow{std::chrono::seconds(1000)};
 
-RunTimeModel learned(std::uint64_t events, Duration taken) {
+RunTimeModel modelAfterRuns(std::uint64_t events, Duration taken) {
   RunTimeModel model;
   for (int i = 0; i < 60; ++i) {
     model.notePace(events, taken);
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("a guess stands for run times until one is known", "[batch][due]") {
+TEST_CASE("the initial estimate is used until a run time is observed", "[batch][due]") {
   RunTimeModel model;
   REQUIRE(model.wholeTime() == Duration::zero());
   model.setGuess(std::chrono::seconds(5));
@@ -34,35 +34,35 @@
   REQUIRE(toSeconds(model.wholeTime()) == Approx(4.1));
 }
 
-TEST_CASE("run times come close to what is seen and follow when it changes", "[batch][due]") {
-  RunTimeModel model = learned(200, std::chrono::seconds(4));
+TEST_CASE("estimates converge to the observed run times and follow changes", "[batch][due]") {
+  RunTimeModel model = modelAfterRuns(200, std::chrono::seconds(4));
   REQUIRE(toSeconds(model.wholeTime()) == Approx(4.1).epsilon(0.01));
   REQUIRE(toSeconds(model.timeLeft(100)) == Approx(2.1).epsilon(0.01));
-  // An item that is longer than most still needs something.
+  // The remaining time of an item longer than the average does not drop to zero.
   REQUIRE(toSeconds(model.timeLeft(500)) == Approx(0.7).epsilon(0.01));
   for (int i = 0; i < 60; ++i) model.notePace(200, std::chrono::seconds(8));
   REQUIRE(toSeconds(model.wholeTime()) == Approx(8.1).epsilon(0.02));
 }
 
-TEST_CASE("the order of items: in time before late, then by due time", "[batch][due]") {
+TEST_CASE("items that can be in time are ordered before late ones, then by due time", "[batch][due]") {
   const DueItem early{kNow + std::chrono::seconds(5), std::chrono::seconds(4)};
   const DueItem later{kNow + std::chrono::seconds(9), std::chrono::seconds(4)};
   const DueItem hopeless{kNow + fromMillis(1900), std::chrono::seconds(4)};
   REQUIRE(goesBefore(kNow, early, later));
   REQUIRE(goesBefore(kNow, later, hopeless));
   REQUIRE_FALSE(goesBefore(kNow, hopeless, early));
-  // Of two that are due alike, the one that is nearly done.
+  // Of two items with the same due time, the one that is nearly done comes first.
   const DueItem nearly_done{kNow + std::chrono::seconds(9), std::chrono::seconds(1)};
   REQUIRE(goesBefore(kNow, nearly_done, later));
   const DueItem without_due{Instant::max(), std::chrono::seconds(1)};
   REQUIRE(goesBefore(kNow, later, without_due));
   REQUIRE_FALSE(goesBefore(kNow, without_due, without_due));
-  // It may be shorter than most: it is not given up on before half of the expected time.
+  // The item may be shorter than the average: it counts as late only once less than half of the estimated time is left.
   const DueItem doubtful{kNow + fromMillis(2100), std::chrono::seconds(4)};
   REQUIRE(goesBefore(kNow, doubtful, early));
 }
 
-TEST_CASE("the order of items is strict and leaves none out", "[batch][due]") {
+TEST_CASE("the order of items is a strict weak order", "[batch][due]") {
   const bool ordered = rc::check("strict weak order", [] {
     const auto item = [] {
       return DueItem{kNow + fromMillis(*rc::gen::inRange(-20000, 20000)), fromMillis(*rc::gen::inRange(0, 10000))};
@@ -73,13 +73,13 @@
     RC_ASSERT(!goesBefore(kNow, a, a));
     RC_ASSERT(!(goesBefore(kNow, a, b) && goesBefore(kNow, b, a)));
     if (goesBefore(kNow, a, b) && goesBefore(kNow, b, c)) RC_ASSERT(goesBefore(kNow, a, c));
-    // An item that can be in time never waits behind one that can't.
+    // An item that can be in time is never ordered after one that cannot.
     if (!isHopeless(kNow, a) && isHopeless(kNow, b)) RC_ASSERT(goesBefore(kNow, a, b));
   });
   REQUIRE(ordered);
 }
 
-TEST_CASE("urgency grows as slack shrinks and ends once an item is late", "[batch][due]") {
+TEST_CASE("urgency grows as slack shrinks and drops to zero once an item is late", "[batch][due]") {
   const Duration whole = std::chrono::seconds(4);
   const auto with_slack = [](double seconds) {
     return DueItem{kNow + std::chrono::seconds(2) + fromMillis(static_cast<std::int64_t>(seconds * 1000)),
