--- a/src/request/crash/crash_ledger.cpp
+++ b/src/request/crash/crash_ledger.cpp
@@ -8,8 +8,9 @@
 namespace hatchfork::request {
 namespace {
 
-/// Two processes note one end of an engine with different delays; a whole answer this close to it proves nothing.
-constexpr Duration kClockSlack = fromMillis(20);
+/// Tolerance for comparing the times of crashes and answers, because processes record the same crash with different
+/// delays. A crash that is recorded up to this long after a complete answer counts as earlier than the answer.
+constexpr Duration kCrashTimeTolerance = fromMillis(20);
 
 }  // namespace
 
@@ -23,7 +24,7 @@
   std::size_t count = 0;
   Instant last = Instant::min();
   for (const Crash& crash : open) {
-    if (last != Instant::min() && crash.began_at + kClockSlack < last) continue;
+    if (last != Instant::min() && crash.began_at + kCrashTimeTolerance < last) continue;
     last = crash.ended_at;
     ++count;
   }
@@ -38,49 +39,50 @@
   return engines;
 }
 
-CrashRecord CrashLedger::recordOf(Instant now, const RequestFingerprint& content, const Crashes::value_type& crash) {
+CrashRecord CrashLedger::makeRecord(Instant now, const RequestFingerprint& content, const Crashes::value_type& crash) {
   const auto& [engine, run] = crash;
   return {content, engine, toMillis(now - run.ended_at), toMillis(run.ended_at - run.began_at)};
 }
 
 bool CrashLedger::noteCrash(Instant at, Duration ran, const RequestFingerprint& content, const EngineId& engine) {
   Entry& entry = entries_[content];
-  const bool is_cleared = at <= entry.innocent_at + kClockSlack;
+  const bool is_cleared = at <= entry.cleared_at + kCrashTimeTolerance;
   if (is_cleared || !entry.crashes.emplace(engine, Crash{at - ran, at}).second) return false;
   entry.last_crash = std::max(entry.last_crash, at);
-  makeRoom();
-  is_judged_ = false;
+  evictExcess();
+  is_up_to_date_ = false;
   return true;
 }
 
 bool CrashLedger::noteInnocent(Instant at, const RequestFingerprint& content) {
   const auto found = entries_.find(content);
-  if (found == entries_.end() || at <= found->second.innocent_at) return false;
+  if (found == entries_.end() || at <= found->second.cleared_at) return false;
   Entry& entry = found->second;
-  entry.innocent_at = at;
-  std::erase_if(entry.crashes, [&](const auto& crash) { return crash.second.ended_at <= at + kClockSlack; });
+  entry.cleared_at = at;
+  std::erase_if(entry.crashes, [&](const auto& crash) { return crash.second.ended_at <= at + kCrashTimeTolerance; });
   entry.last_crash = Instant::min();
   for (const auto& [engine, crash] : entry.crashes) entry.last_crash = std::max(entry.last_crash, crash.ended_at);
-  is_judged_ = false;
+  is_up_to_date_ = false;
   return true;
 }
 
 CrashVerdict CrashLedger::judge(const RequestFingerprint& content) {
-  if (!std::exchange(is_judged_, true)) judgeAll();
+  if (!std::exchange(is_up_to_date_, true)) updateVerdicts();
   const auto found = entries_.find(content);
   return found == entries_.end() ? CrashVerdict{} : found->second.verdict;
 }
 
 Duration CrashLedger::quarantineOf(std::size_t crashes) const {
   Duration quarantine = limits_.first_quarantine;
-  for (std::size_t further = limits_.convicting_crashes; further < crashes; ++further) {
+  for (std::size_t further = limits_.quarantine_threshold; further < crashes; ++further) {
     quarantine = std::min(limits_.longest_quarantine, quarantine * limits_.quarantine_growth);
   }
   return quarantine;
 }
 
-/// The smallest set of requests that explains the ends, found greedily: the one with the most ends first.
-void CrashLedger::judgeAll() {
+/// Greedy approximation of the smallest set of requests that explains all crashes: repeatedly takes the request with
+/// the most unexplained crashes.
+void CrashLedger::updateVerdicts() {
   std::set<EngineId> explained;
   std::vector<Entry*> open;
   for (auto& [content, entry] : entries_) {
@@ -90,20 +92,20 @@
   while (true) {
     std::size_t most = 0;
     for (const Entry* entry : open) most = std::max(most, countUnexplained(entry->crashes, explained));
-    if (most < limits_.convicting_crashes) break;
+    if (most < limits_.quarantine_threshold) break;
     const auto chosen = std::find_if(open.begin(), open.end(), [&](const Entry* entry) {
       return countUnexplained(entry->crashes, explained) == most;
     });
     const std::set<EngineId> engines = unexplainedEngines((*chosen)->crashes, explained);
-    // Others that were at just these engines can't be told from it.
-    std::vector<Entry*> alike;
+    // Other requests with exactly the same engines cannot be distinguished from the chosen one.
+    std::vector<Entry*> indistinguishable;
     for (Entry* entry : open) {
-      if (unexplainedEngines(entry->crashes, explained) == engines) alike.push_back(entry);
+      if (unexplainedEngines(entry->crashes, explained) == engines) indistinguishable.push_back(entry);
     }
-    const bool is_decided = alike.size() == 1 || most >= limits_.undecided_crashes;
-    for (Entry* entry : alike) {
+    const bool is_conclusive = indistinguishable.size() == 1 || most >= limits_.ambiguous_threshold;
+    for (Entry* entry : indistinguishable) {
       entry->verdict.crashes = most;
-      if (is_decided)
+      if (is_conclusive)
         entry->verdict.refused_until = entry->last_crash + quarantineOf(countUnexplained(entry->crashes, {}));
       std::erase(open, entry);
     }
@@ -112,22 +114,21 @@
   for (Entry* entry : open) entry->verdict.crashes = countUnexplained(entry->crashes, explained);
 }
 
-Instant CrashLedger::forgottenAt(const Entry& entry) const {
-  const Instant last = std::max(entry.last_crash, entry.innocent_at);
+Instant CrashLedger::expiresAt(const Entry& entry) const {
+  const Instant last = std::max(entry.last_crash, entry.cleared_at);
   const std::size_t crashes = countUnexplained(entry.crashes, {});
-  const bool is_convicted = crashes >= limits_.convicting_crashes;
-  const Duration kept = is_convicted ? std::max(limits_.kept_for, 2 * quarantineOf(crashes)) : limits_.kept_for;
+  const bool is_quarantined = crashes >= limits_.quarantine_threshold;
+  const Duration kept = is_quarantined ? std::max(limits_.retention, 2 * quarantineOf(crashes)) : limits_.retention;
   return last + kept;
 }
 
 void CrashLedger::expire(Instant now) {
-  const std::size_t forgotten =
-      std::erase_if(entries_, [&](const auto& item) { return now > forgottenAt(item.second); });
-  if (forgotten > 0) is_judged_ = false;
+  const std::size_t forgotten = std::erase_if(entries_, [&](const auto& item) { return now > expiresAt(item.second); });
+  if (forgotten > 0) is_up_to_date_ = false;
 }
 
-void CrashLedger::makeRoom() {
-  while (entries_.size() > limits_.most_requests) {
+void CrashLedger::evictExcess() {
+  while (entries_.size() > limits_.max_requests) {
     const auto least = std::min_element(entries_.begin(), entries_.end(), [](const auto& left, const auto& right) {
       return std::pair(left.second.crashes.size(), left.second.last_crash) <
              std::pair(right.second.crashes.size(), right.second.last_crash);
@@ -137,7 +138,7 @@
 }
 
 std::size_t CrashLedger::refusedRequests(Instant now) {
-  if (!std::exchange(is_judged_, true)) judgeAll();
+  if (!std::exchange(is_up_to_date_, true)) updateVerdicts();
   return static_cast<std::size_t>(std::count_if(
       entries_.begin(), entries_.end(), [now](const auto& item) { return item.second.verdict.isRefused(now); }));
 }
@@ -145,7 +146,7 @@
 std::vector<CrashRecord> CrashLedger::crashes(Instant now, std::size_t most) const {
   std::vector<CrashRecord> records;
   for (const auto& [content, entry] : entries_) {
-    for (const auto& crash : entry.crashes) records.push_back(recordOf(now, content, crash));
+    for (const auto& crash : entry.crashes) records.push_back(makeRecord(now, content, crash));
   }
   std::sort(records.begin(), records.end(),
             [](const CrashRecord& left, const CrashRecord& right) { return left.age_ms < right.age_ms; });
@@ -154,11 +155,11 @@
 }
 
 std::vector<CrashRecord> CrashLedger::crashesOfConvicted(Instant now) {
-  if (!std::exchange(is_judged_, true)) judgeAll();
+  if (!std::exchange(is_up_to_date_, true)) updateVerdicts();
   std::vector<CrashRecord> records;
   for (const auto& [content, entry] : entries_) {
     if (entry.verdict.refused_until == Instant::min()) continue;
-    for (const auto& crash : entry.crashes) records.push_back(recordOf(now, content, crash));
+    for (const auto& crash : entry.crashes) records.push_back(makeRecord(now, content, crash));
   }
   return records;
 }
@@ -166,8 +167,8 @@
 std::vector<InnocenceRecord> CrashLedger::innocents(Instant now, std::size_t most) const {
   std::vector<InnocenceRecord> records;
   for (const auto& [content, entry] : entries_) {
-    if (entry.innocent_at == Instant::min() || records.size() >= most) continue;
-    records.push_back({content, toMillis(now - entry.innocent_at)});
+    if (entry.cleared_at == Instant::min() || records.size() >= most) continue;
+    records.push_back({content, toMillis(now - entry.cleared_at)});
   }
   return records;
 }
--- a/src/request/crash/crash_ledger.hpp
+++ b/src/request/crash/crash_ledger.hpp
@@ -12,83 +12,95 @@
 
 namespace hatchfork::request {
 
-/// An engine ended while a request was in flight there.
+/// Record of an engine that crashed while a request was in flight there.
 struct CrashRecord {
   RequestFingerprint content;
   EngineId engine;
-  /// How long ago, in milliseconds; clocks of processes differ.
+  /// Time since the crash, in milliseconds. An age, because the clocks of processes differ.
   std::int64_t age_ms = 0;
-  /// How long the request had been there, in milliseconds.
+  /// Time that the request had been at the engine when the engine crashed, in milliseconds.
   std::int64_t ran_ms = 0;
 };
 
-/// A request got a whole answer, so that it did not end that engine.
+/// Record of a request that got a complete answer and thus did not crash its engine.
 struct InnocenceRecord {
   RequestFingerprint content;
+  /// Time since the answer, in milliseconds.
   std::int64_t age_ms = 0;
 };
 
+/// Thresholds, quarantine times and memory bounds of `CrashLedger`.
 struct CrashLedgerLimits {
-  /// Engines that must have ended under a request, and under no other one that explains it, before it is refused. Fewer
-  /// would refuse requests that shared an engine with another one twice.
-  std::size_t convicting_crashes = 3;
-  /// Two requests that were in flight at all the same engines can't be told apart; both are refused from here on.
-  std::size_t undecided_crashes = 5;
-  /// A request is refused for this long after its last crash, and so many times longer after each further one.
+  /// Number of crashes, not explained by another request, from which on a request is refused. A lower number would
+  /// refuse requests that merely shared an engine with a crashing request twice.
+  std::size_t quarantine_threshold = 3;
+  /// Number of crashes from which on requests are refused that were in flight at exactly the same engines and cannot be
+  /// distinguished.
+  std::size_t ambiguous_threshold = 5;
+  /// Quarantine after the last crash of a request that has reached the threshold.
   Duration first_quarantine = std::chrono::seconds(20);
+  /// Factor by which the quarantine grows with each further crash, up to `longest_quarantine`.
   int quarantine_growth = 10;
   Duration longest_quarantine = std::chrono::hours(6);
-  /// What is known of a request is forgotten this long after its last crash, or once its quarantine has been over for
-  /// as long as it took.
-  Duration kept_for = std::chrono::minutes(10);
-  /// Most requests that are remembered, of about 200 bytes each; those with the fewest and oldest crashes give way.
-  std::size_t most_requests = 4000;
+  /// Retention of the records of a request after its last crash. Refused requests are kept for twice their quarantine
+  /// if that is longer.
+  Duration retention = std::chrono::minutes(10);
+  /// Largest number of requests with records, of about 200 bytes each. Those with the fewest and oldest crashes are
+  /// evicted.
+  std::size_t max_requests = 4000;
 };
 
-/// What is known of a request's part in the ends of engines.
+/// Assessment of whether a request crashes the engines it runs on.
 struct CrashVerdict {
-  /// Engines that ended under it and that no other request explains; zero for all ordinary requests.
+  /// Number of crashes during the request that no other request explains; zero for ordinary requests.
   std::size_t crashes = 0;
-  /// Refused before this time; `Instant::min()` if it is not refused.
+  /// End of the quarantine; `Instant::min()` if the request is not refused.
   Instant refused_until = Instant::min();
 
   bool isSuspect() const { return crashes > 0; }
   bool isRefused(Instant now) const { return now < refused_until; }
 };
 
-/// Tells requests that end the engines they run on from those that were only in flight beside them. An engine's end is
-/// noted for all requests it ran; a whole answer clears a request of all earlier ends; the request with the most ends
-/// is taken to explain them, so that they count for no other one. Ends count one after the other: a content that many
-/// callers send is in flight at many engines at once, and two of those that end say no more of it than one. Verdicts
-/// follow from the records alone, in whatever order these come, so that processes which exchange their records agree.
-/// No I/O, no clock. Belongs to one thread.
+/// Distinguishes requests that crash the engines they run on from those that were merely in flight there.
+///
+/// A crash is recorded for all requests that were in flight at the engine. A complete answer clears a request of all
+/// earlier crashes. The request with the most crashes is taken as their cause, and these crashes then count for no
+/// other request. Crashes during overlapping runs of one content count once: a content that many callers send is in
+/// flight at many engines at the same time, so several of them crashing is no stronger evidence than one.
+///
+/// Verdicts depend only on the set of records and not on their order, so processes that exchange their records agree.
+/// Does no I/O; callers pass the current time. Not thread-safe.
 class CrashLedger {
  public:
   explicit CrashLedger(CrashLedgerLimits limits = {}) : limits_(limits) {}
 
-  /// `ran`: how long the request had been at the engine. True if this was not known.
+  /// Records a crash. `ran`: time that the request had been at the engine. Returns true if the record is new and
+  /// counts.
   bool noteCrash(Instant at, Duration ran, const RequestFingerprint& content, const EngineId& engine);
-  /// A whole answer; true if it clears the request of something.
+  /// Records a complete answer. Returns true if the request has records and this answer is newer than earlier ones.
   bool noteInnocent(Instant at, const RequestFingerprint& content);
-  /// Costs more after a change: all requests are judged again, once.
+  /// Returns the verdict on a request. The first call after a change re-evaluates all requests.
   CrashVerdict judge(const RequestFingerprint& content);
-  /// True while nothing is known of any request, so that none needs to be looked up.
+  /// True if there are no records, so that callers can skip the lookup.
   bool isEmpty() const { return entries_.empty(); }
   bool knows(const RequestFingerprint& content) const { return entries_.contains(content); }
+  /// Number of requests with records.
   std::size_t requests() const { return entries_.size(); }
   std::size_t refusedRequests(Instant now);
+  /// Removes records whose retention has ended.
   void expire(Instant now);
 
-  /// All records, those of the newest requests first, at most so many.
+  /// Returns the newest crash records, at most `most`, the newest first.
   std::vector<CrashRecord> crashes(Instant now, std::size_t most) const;
-  /// Those of the requests that are refused, or were.
+  /// Returns the crash records of all requests that are or were in quarantine.
   std::vector<CrashRecord> crashesOfConvicted(Instant now);
+  /// Returns the requests with a complete answer, at most `most`.
   std::vector<InnocenceRecord> innocents(Instant now, std::size_t most) const;
-  /// Equal for ledgers that hold the same crashes.
+  /// Hash of all crash records; equal for ledgers with the same crashes.
   std::uint64_t digest() const;
 
  private:
-  /// A run that ended with its engine.
+  /// A run that was in flight when its engine crashed.
   struct Crash {
     Instant began_at{};
     Instant ended_at{};
@@ -97,25 +109,25 @@
   struct Entry {
     Crashes crashes;
     Instant last_crash = Instant::min();
-    /// Crashes up to here do not count.
-    Instant innocent_at = Instant::min();
+    /// Time of the last complete answer; crashes up to this time do not count.
+    Instant cleared_at = Instant::min();
     CrashVerdict verdict;
   };
   using Entries = std::map<RequestFingerprint, Entry>;
 
-  /// Ends that no other request explains, counted one after the other.
+  /// Number of crashes at engines other than `explained`; crashes during overlapping runs count once.
   static std::size_t countUnexplained(const Crashes& crashes, const std::set<EngineId>& explained);
   static std::set<EngineId> unexplainedEngines(const Crashes& crashes, const std::set<EngineId>& explained);
-  static CrashRecord recordOf(Instant now, const RequestFingerprint& content, const Crashes::value_type& crash);
-  void judgeAll();
-  Instant forgottenAt(const Entry& entry) const;
+  static CrashRecord makeRecord(Instant now, const RequestFingerprint& content, const Crashes::value_type& crash);
+  void updateVerdicts();
+  Instant expiresAt(const Entry& entry) const;
   Duration quarantineOf(std::size_t crashes) const;
-  void makeRoom();
+  void evictExcess();
 
   CrashLedgerLimits limits_;
   Entries entries_;
-  /// The verdicts follow from all records.
-  bool is_judged_ = true;
+  /// True if the stored verdicts are up to date with all records.
+  bool is_up_to_date_ = true;
 };
 
 }  // namespace hatchfork::request
--- a/src/request/crash/request_fingerprint.cpp
+++ b/src/request/crash/request_fingerprint.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::size_t kHexDigits = 32;
 
-/// With its length before it, so that no two lists of parts give the same bytes.
+/// Appends the length and the part, so that different lists of parts never give the same bytes.
 void appendPart(std::string& bytes, std::string_view part) {
   bytes += std::to_string(part.size());
   bytes += ':';
--- a/src/request/crash/request_fingerprint.hpp
+++ b/src/request/crash/request_fingerprint.hpp
@@ -7,14 +7,14 @@
 
 namespace hatchfork::request {
 
-/// Names the content of a request: equal for each try of one caller that sends the same again, under whatever
-/// identifier and at whatever gateway. 128 bits of a SHA-256, as hexadecimal text, so that nobody can make a request
-/// that is taken for another one.
+/// Identifies the content of a request: equal for all attempts of one caller with the same content, regardless of
+/// request identifier and gateway. The first 128 bits of a SHA-256 hash as hexadecimal text; cryptographic, so that
+/// nobody can craft a request that is taken for another one.
 using RequestFingerprint = StringId<struct RequestFingerprintTag>;
 
-/// What makes two requests the same. Refers to memory of the caller.
+/// Parts of a request that make up its fingerprint. Views of memory that the caller owns.
 struct RequestContent {
-  /// Who asks: the tenant, and where there are none, the address that the request came from.
+  /// The tenant, or the source address of the request if no tenants are configured.
   std::string_view caller;
   std::string_view method;
   std::string_view host;
@@ -23,7 +23,7 @@
   std::string_view body;
 };
 
-/// Costs a hash of all bytes: about 2 microseconds a kilobyte.
+/// Returns the fingerprint of a request. Cost: a hash of all bytes, about 2 microseconds per kilobyte.
 RequestFingerprint fingerprintOf(const RequestContent& content);
 
 }  // namespace hatchfork::request
--- a/tests/request/crash/crash_ledger_test.cpp
+++ b/tests/request/crash/crash_ledger_test.cpp
@@ -16,7 +16,7 @@
 EngineId engine(int number) {
   return EngineId("e" + std::to_string(number));
 }
-/// How long requests have been at their engines.
+/// Time that a request has been at its engine when the engine crashes.
 constexpr Duration kRan = fromMillis(30);
 
 Instant at(std::int64_t milliseconds) {
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("a request under which three engines ended is refused for a while", "[crash]") {
+TEST_CASE("a request is quarantined after three crashes", "[crash]") {
   CrashLedger ledger;
   for (int number = 1; number <= 2; ++number)
     REQUIRE(ledger.noteCrash(at(1000 * number), kRan, content("p"), engine(number)));
@@ -37,30 +37,30 @@
   REQUIRE_FALSE(ledger.judge(content("p")).isRefused(at(23100)));
 }
 
-TEST_CASE("each further end of an engine keeps a request away for much longer", "[crash]") {
+TEST_CASE("each further crash extends the quarantine of a request", "[crash]") {
   CrashLedger ledger;
   for (int number = 1; number <= 4; ++number) ledger.noteCrash(at(1000 * number), kRan, content("p"), engine(number));
   REQUIRE(ledger.judge(content("p")).isRefused(at(4000 + 199000)));
   REQUIRE_FALSE(ledger.judge(content("p")).isRefused(at(4000 + 201000)));
 }
 
-TEST_CASE("the same end of an engine counts once, whoever tells it", "[crash]") {
+TEST_CASE("a crash that is reported twice counts once", "[crash]") {
   CrashLedger ledger;
   REQUIRE(ledger.noteCrash(at(0), kRan, content("p"), engine(1)));
   REQUIRE_FALSE(ledger.noteCrash(at(7), kRan, content("p"), engine(1)));
   REQUIRE(ledger.judge(content("p")).crashes == 1);
 }
 
-TEST_CASE("a whole answer clears a request of all earlier ends", "[crash]") {
+TEST_CASE("a complete answer clears a request of all earlier crashes", "[crash]") {
   CrashLedger ledger;
   for (int number = 1; number <= 3; ++number) ledger.noteCrash(at(100 * number), kRan, content("i"), engine(number));
   REQUIRE(ledger.noteInnocent(at(500), content("i")));
   REQUIRE_FALSE(ledger.judge(content("i")).isSuspect());
-  // An old record that comes late changes nothing.
+  // An old record that arrives late changes nothing.
   REQUIRE_FALSE(ledger.noteCrash(at(4), kRan, content("i"), engine(4)));
 }
 
-TEST_CASE("who only shared engines with such a request is not refused", "[crash]") {
+TEST_CASE("a request that only shared engines with a crashing request is not refused", "[crash]") {
   CrashLedger ledger;
   for (int number = 1; number <= 4; ++number) ledger.noteCrash(at(100 * number), kRan, content("p"), engine(number));
   for (int number = 1; number <= 3; ++number) ledger.noteCrash(at(100 * number), kRan, content("i"), engine(number));
@@ -68,20 +68,20 @@
   REQUIRE_FALSE(ledger.judge(content("i")).isSuspect());
 }
 
-TEST_CASE("a content that was in flight at many engines at once is not blamed for each of them", "[crash]") {
+TEST_CASE("crashes during overlapping runs of the same content count once", "[crash]") {
   CrashLedger ledger;
-  // Many callers send it; their requests have been running for a while when five engines end.
+  // Many callers send this content; their requests have been running for some time when five engines crash.
   for (int number = 1; number <= 5; ++number) {
     ledger.noteCrash(at(100 * number), fromMillis(100 * number + 50), content("popular"), engine(number));
   }
   REQUIRE(ledger.judge(content("popular")).crashes == 1);
-  // The one that did it came again after each end.
+  // The request that causes the crashes is sent again after each one.
   for (int number = 1; number <= 3; ++number) ledger.noteCrash(at(100 * number), kRan, content("p"), engine(number));
   REQUIRE(ledger.judge(content("p")).isRefused(at(600)));
   REQUIRE_FALSE(ledger.judge(content("popular")).isRefused(at(600)));
 }
 
-TEST_CASE("two requests that were at just the same engines are not refused before they can be told apart", "[crash]") {
+TEST_CASE("two requests with exactly the same engines are not refused until they can be distinguished", "[crash]") {
   CrashLedger ledger;
   for (int number = 1; number <= 3; ++number) {
     ledger.noteCrash(at(100 * number), kRan, content("p"), engine(number));
@@ -94,7 +94,7 @@
   REQUIRE_FALSE(ledger.judge(content("i")).isSuspect());
 }
 
-TEST_CASE("two requests that stay together at five ends are refused both", "[crash]") {
+TEST_CASE("two requests that share five crashes are both refused", "[crash]") {
   CrashLedger ledger;
   for (int number = 1; number <= 5; ++number) {
     ledger.noteCrash(at(100 * number), kRan, content("p"), engine(number));
@@ -104,9 +104,9 @@
   REQUIRE(ledger.judge(content("q")).isRefused(at(600)));
 }
 
-TEST_CASE("what is known of a request is forgotten, and memory is bounded", "[crash]") {
+TEST_CASE("records expire, and memory is bounded", "[crash]") {
   CrashLedgerLimits limits;
-  limits.most_requests = 10;
+  limits.max_requests = 10;
   CrashLedger ledger(limits);
   for (int number = 0; number < 3; ++number) ledger.noteCrash(at(30 * number), kRan, content("p"), engine(number));
   for (int number = 0; number < 50; ++number) {
@@ -118,7 +118,7 @@
   REQUIRE(ledger.isEmpty());
 }
 
-TEST_CASE("ledgers that have heard the same records in any order agree", "[crash][property]") {
+TEST_CASE("ledgers with the same records in any order agree", "[crash][property]") {
   rc::check("verdicts and digests are equal", [] {
     struct Event {
       int content;
@@ -132,7 +132,7 @@
       events.push_back({*rc::gen::inRange(0, 4), *rc::gen::inRange(0, 8), 100 * *rc::gen::inRange(0, 100),
                         *rc::gen::inRange(0, 6) == 0});
     }
-    // An engine ends once, at one moment.
+    // An engine crashes once, at one time.
     for (Event& event : events) {
       if (!event.is_innocent) event.at_ms = 700 * event.engine;
     }
@@ -141,7 +141,7 @@
     std::shuffle(shuffled.begin(), shuffled.end(), order);
     const auto play = [](const std::vector<Event>& played) {
       CrashLedger ledger;
-      // Contents are known from a first crash on, as an answer to an unknown one clears nothing.
+      // Each content gets a first crash, because an answer to a content without records has no effect.
       for (int name = 0; name < 4; ++name) ledger.noteCrash(at(-1000), kRan, content(std::to_string(name)), engine(99));
       for (const Event& event : played) {
         if (event.is_innocent) {
--- a/tests/request/crash/request_fingerprint_test.cpp
+++ b/tests/request/crash/request_fingerprint_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace hatchfork::request;
 
-TEST_CASE("a request has the same fingerprint each time, and another one where any part differs", "[crash]") {
+TEST_CASE("equal requests have equal fingerprints, and any different part changes the fingerprint", "[crash]") {
   const RequestContent content{"10.0.0.1", "POST", "a.example", "/x/1", "body"};
   const RequestFingerprint first = fingerprintOf(content);
   REQUIRE(first == fingerprintOf({"10.0.0.1", "POST", "a.example", "/x/1", "body"}));
@@ -16,6 +16,6 @@
   REQUIRE(first != fingerprintOf({"10.0.0.1", "POST", "a.example", "/x/1", "Body"}));
 }
 
-TEST_CASE("parts of a request that meet elsewhere give another fingerprint", "[crash]") {
+TEST_CASE("the boundaries between the parts of a request change the fingerprint", "[crash]") {
   REQUIRE(fingerprintOf({"", "POST", "a", "/x", "1y"}) != fingerprintOf({"", "POST", "a", "/x1", "y"}));
 }
