--- a/src/request/policy/policy_gate.cpp
+++ b/src/request/policy/policy_gate.cpp
@@ -24,10 +24,11 @@
 }
 
 Error shed(const std::string& policy) {
-  return Error{ErrorKind::kOverloaded, "the service is under pressure and policy " + policy + " sheds such requests",
-               "come back after the stated time", Executed::kNo, kRetryAfterShedding};
+  return Error{ErrorKind::kOverloaded, "the service is overloaded and policy " + policy + " sheds such requests",
+               "retry after the stated time", Executed::kNo, kRetryAfterShedding};
 }
 
+/// Returns the share of one gateway in the slots of all engines that are not leaving.
 double shareOfSlots(const ServiceFleet& fleet, std::uint32_t gateways) {
   std::uint32_t slots = 0;
   for (const FleetEngine& engine : fleet.engines) {
@@ -45,7 +46,7 @@
 
 void PolicyGate::takeVersion(GatewayVersionPtr version) {
   const bool same = version_ && version_->configuration().revision == version->configuration().revision;
-  // Programs of the same revision stay, and with them the version whose sources they were made of.
+  // The compiled programs of the same revision are kept, together with the version that owns their sources.
   if (!same) {
     policies_.emplace(version->configuration().policies);
     version_ = version;
@@ -60,7 +61,7 @@
 double PolicyGate::pressure(const ServiceId& service) const {
   const auto found = loads_.find(service);
   if (found == loads_.end()) return 0;
-  // A service without engines cannot be asked for more than one request's worth.
+  // A share below one slot counts as one slot, also for a service without engines.
   return found->second.in_flight / std::max(1.0, found->second.share);
 }
 
@@ -70,14 +71,14 @@
   return in_flight;
 }
 
-Result<PolicyDecision> PolicyGate::ask(const std::string& policy, const PolicyInput& input) {
+Result<PolicyDecision> PolicyGate::evaluate(const std::string& policy, const PolicyInput& input) {
   if (policy.empty() || !policies_) return PolicyDecision{true, "", input.urgency, false, PolicyLimits{}};
   return policies_->decide(policy, input);
 }
 
 void PolicyGate::countFault(const Error& error) {
   ++counters_.failed;
-  // A program that always fails must not fill the log: the 1st, 2nd, 4th, 8th ... fault is written.
+  // Logs the 1st, 2nd, 4th, 8th ... fault only, so that a program that always fails does not flood the log.
   if (!std::has_single_bit(counters_.failed)) return;
   logEvent(LogLevel::kWarning, "policy_failed", {{"cause", error.message}, {"faults", counters_.failed}});
 }
@@ -85,7 +86,7 @@
 Result<PolicyDecision> PolicyGate::admit(const Tenant& tenant, const Service& service, WorkKind kind,
                                          PolicyUrgency urgency) {
   const PolicyInput input{tenant.id, service.id, kind, urgency, pressure(service.id)};
-  Result<PolicyDecision> decision = ask(service.policy, input);
+  Result<PolicyDecision> decision = evaluate(service.policy, input);
   if (!isOk(decision)) {
     countFault(errorOf(decision));
     return decision;
@@ -108,7 +109,7 @@
   const auto& services = version_->configuration().services;
   const auto found = services.find(service);
   if (found == services.end()) return PolicyDecision{};
-  const Result<PolicyDecision> decision = ask(found->second.policy, input);
+  const Result<PolicyDecision> decision = evaluate(found->second.policy, input);
   if (isOk(decision)) return valueOf(decision);
   countFault(errorOf(decision));
   return PolicyDecision{};
@@ -116,12 +117,12 @@
 
 Status PolicyGate::enter(const TenantId& tenant, const ServiceId& service, std::uint32_t concurrency) {
   ServiceLoad& load = loads_[service];
-  const auto known = load.in_flight_of.find(tenant);
-  const std::uint32_t in_flight = known == load.in_flight_of.end() ? 0 : known->second;
+  const auto tenant_count = load.in_flight_of.find(tenant);
+  const std::uint32_t in_flight = tenant_count == load.in_flight_of.end() ? 0 : tenant_count->second;
   const std::uint32_t share = (concurrency + gateways_ - 1) / gateways_;
   if (concurrency > 0 && in_flight >= share) {
-    return Error{ErrorKind::kRateLimited, "tenant " + tenant.value + " has used up its requests at once",
-                 "come back after the stated time, or ask the operators for a higher limit", Executed::kNo,
+    return Error{ErrorKind::kRateLimited, "tenant " + tenant.value + " has reached its limit of concurrent requests",
+                 "retry after the stated time, or ask the operators for a higher limit", Executed::kNo,
                  kRetryAfterConcurrency};
   }
   ++load.in_flight_of[tenant];
@@ -133,7 +134,7 @@
   const auto load = loads_.find(service);
   if (load == loads_.end()) return;
   const auto in_flight = load->second.in_flight_of.find(tenant);
-  // The service was removed and came back meanwhile: its new count does not know this request.
+  // The service was removed and added again meanwhile: its new count does not include this request.
   if (in_flight == load->second.in_flight_of.end()) return;
   --load->second.in_flight;
   if (--in_flight->second == 0) load->second.in_flight_of.erase(in_flight);
--- a/src/request/policy/policy_gate.hpp
+++ b/src/request/policy/policy_gate.hpp
@@ -11,53 +11,56 @@
 
 namespace hatchfork::request {
 
-/// Refusals for which policies are the reason.
+/// Number of requests refused because of policies.
 struct PolicyCounters {
   std::uint64_t denied = 0;
-  /// Programs that faulted, looped or took too much memory; each denied its request.
+  /// Requests whose policy program failed, exceeded its time or exceeded its memory.
   std::uint64_t failed = 0;
   std::uint64_t shed = 0;
 };
 
-/// Pressure from which on work that a policy lets be shed is refused.
+/// Returns the pressure from which on work that the policy marks as sheddable is refused.
 double sheddingPressure(PolicyUrgency urgency);
 
-/// Asks the policies of the version in force about requests of one gateway, and keeps count of the online requests in
-/// flight, from which it works out the pressure. One traffic thread.
+/// Evaluates the policies of the active configuration version for the requests of one gateway. Counts the online
+/// requests in flight and derives the pressure on each service from the count. Used by one traffic thread.
 class PolicyGate {
  public:
-  /// Puts a version in force. Programs are compiled anew where the configuration's revision is another.
+  /// Activates a version. Programs are compiled again only if the revision of the configuration has changed.
   void takeVersion(GatewayVersionPtr version);
 
-  /// Decides on a request before anything of it is run. Errors, all with executed "no": `kPolicyDenied`,
-  /// `kPolicyFailed`, and `kOverloaded` with a retry time for work that the policy lets be shed under pressure.
+  /// Decides on a request before any part of it is executed. Errors, all with `Executed::kNo`: `kPolicyDenied`,
+  /// `kPolicyFailed`, and `kOverloaded` with a retry time for work that the policy sheds under pressure.
   Result<PolicyDecision> admit(const Tenant& tenant, const Service& service, WorkKind kind, PolicyUrgency urgency);
-  /// Advice for accepted work, which is run whatever the policy says now: a program that fails gives none.
+  /// Returns the current decision for work that was accepted earlier. Such work runs even if the policy now denies the
+  /// request; callers use only the urgency and the limits. A failed program gives the default decision.
   PolicyDecision advise(const TenantId& tenant, const ServiceId& service, WorkKind kind);
 
-  /// Takes a place for an online request. `concurrency` is the policy's limit over the fleet, zero for none; above this
-  /// gateway's share it refuses with `kRateLimited`. Every success is followed by one `leave`.
+  /// Acquires a slot for an online request. `concurrency` is the fleet-wide limit of the policy, zero for unlimited.
+  /// Returns `kRateLimited` above the share of this gateway. Every success must be followed by one `leave`.
   Status enter(const TenantId& tenant, const ServiceId& service, std::uint32_t concurrency);
   void leave(const TenantId& tenant, const ServiceId& service);
 
-  /// Online requests in flight over this gateway's share of the slots of engines that stay; 0 for an unknown service.
+  /// Ratio of the online requests in flight to the share of this gateway in the slots of engines that are not leaving;
+  /// zero for an unknown service.
   double pressure(const ServiceId& service) const;
-  /// Online requests in flight over all services.
+  /// Number of online requests in flight over all services.
   std::uint32_t inFlight() const;
   const PolicyCounters& counters() const { return counters_; }
 
  private:
   struct ServiceLoad {
-    /// This gateway's share of the service's slots.
+    /// Share of this gateway in the slots of the service.
     double share = 0;
     std::uint32_t in_flight = 0;
     std::map<TenantId, std::uint32_t> in_flight_of;
   };
 
-  Result<PolicyDecision> ask(const std::string& policy, const PolicyInput& input);
+  /// Runs the program of a policy; allows the request if there is no policy.
+  Result<PolicyDecision> evaluate(const std::string& policy, const PolicyInput& input);
   void countFault(const Error& error);
 
-  /// Keeps the sources alive that `policies_` refers to.
+  /// Owns the sources that `policies_` refers to.
   GatewayVersionPtr version_;
   std::optional<PolicySet> policies_;
   std::uint32_t gateways_ = 1;
--- a/tests/request/policy/policy_gate_test.cpp
+++ b/tests/request/policy/policy_gate_test.cpp
@@ -15,7 +15,8 @@
   return tenant;
 }
 
-/// One service with 8 slots that stay, 8 that drain and 8 that leave, and two gateways: a share of 4 slots.
+/// One service with two gateways and three engines of 8 slots, of which one drains and one leaves the platform. Each
+/// gateway has a share of 4 slots.
 GatewayVersionPtr makeVersion(const std::string& source, Revision revision = 1) {
   auto configuration = std::make_shared<Configuration>();
   configuration->revision = revision;
@@ -49,7 +50,7 @@
 
 }  // namespace
 
-TEST_CASE("a denied request and a failing policy are refused as not run, and counted", "[policy]") {
+TEST_CASE("denials and failures of a policy are refused as not executed, and counted", "[policy]") {
   PolicyGate gate;
   gate.takeVersion(makeVersion(R"(function decide(r)
     if r.tenant == "visitors" then return { allow = false, reason = "closed at night" } end
@@ -68,7 +69,7 @@
   CHECK(gate.counters().failed == 1);
 }
 
-TEST_CASE("pressure is the gateway's online work over its share of the slots that stay", "[policy]") {
+TEST_CASE("pressure is the ratio of online requests to the gateway's share of remaining slots", "[policy]") {
   PolicyGate gate;
   gate.takeVersion(makeVersion(""));
   CHECK(gate.pressure(kService) == 0);
@@ -81,7 +82,7 @@
   CHECK(gate.pressure(ServiceId("unknown")) == 0);
 }
 
-TEST_CASE("only work that may be shed is shed, the less urgent first, with a time to come back", "[policy]") {
+TEST_CASE("only sheddable work is shed, less urgent work first, with a retry time", "[policy]") {
   PolicyGate gate;
   gate.takeVersion(makeVersion(R"(function decide(r)
     if r.tenant == "keep" then return { allow = true } end
@@ -107,7 +108,7 @@
   CHECK(gate.counters().shed == 3);
 }
 
-TEST_CASE("a policy's limit of requests at once is shared out over the gateways", "[policy]") {
+TEST_CASE("a policy's concurrency limit is divided between the gateways", "[policy]") {
   PolicyGate gate;
   gate.takeVersion(makeVersion(""));
   const TenantId tenant("clerks");
@@ -122,7 +123,7 @@
   CHECK(isOk(gate.enter(tenant, kService, 3)));
 }
 
-TEST_CASE("each revision compiles its programs anew, a new list of gateways does not", "[policy]") {
+TEST_CASE("programs are compiled again for a new revision, but not for a new list of gateways", "[policy]") {
   const std::string counting = R"(local calls = 0
     function decide(r) calls = calls + 1 return { allow = true, limits = { max_tokens = calls } } end)";
   PolicyGate gate;
@@ -134,7 +135,7 @@
   CHECK(valueOf(admit(gate, "clerks")).limits.max_tokens == 1);
 }
 
-TEST_CASE("accepted work is run whatever its policy says by now", "[policy]") {
+TEST_CASE("accepted work runs even if its policy denies it later", "[policy]") {
   PolicyGate gate;
   CHECK(gate.advise(TenantId("clerks"), kService, WorkKind::kBatch).urgency == PolicyUrgency::kNormal);
   gate.takeVersion(makeVersion("function decide(r) return { allow = false, urgency = 'high' } end"));
