--- a/src/request/access/allowed_zones.hpp
+++ b/src/request/access/allowed_zones.hpp
@@ -9,14 +9,14 @@
 
 namespace hatchfork::request {
 
-/// The region of each zone of the fleet.
+/// Region of each zone of the fleet.
 using ZoneRegions = std::map<ZoneId, RegionId>;
 
-/// The zones whose machines may serve, run or keep a request: those of regions that its route and its tenant both
-/// allow. Nothing where neither names a region. A zone of an unknown region is none of them.
+/// Returns the zones whose machines may serve, run or store a request: the zones of the regions that both route and
+/// tenant allow. Returns nothing if neither restricts the regions. Zones of unknown regions are never included.
 std::optional<std::set<ZoneId>> allowedZones(const Route& route, const Tenant* tenant, const ZoneRegions& regions);
 
-/// The allowed regions by name, for refusals.
+/// Returns the names of the allowed regions, for error messages.
 std::string namesOfAllowedRegions(const Route& route, const Tenant* tenant);
 
 }  // namespace hatchfork::request
--- a/src/request/access/caller_identity.hpp
+++ b/src/request/access/caller_identity.hpp
@@ -7,8 +7,9 @@
 
 namespace hatchfork::request {
 
-/// Who sends a request: the tenant that holds its API key, or null where none is needed and none is known. Belongs to
-/// the table. `kUnauthenticated` where the table has tenants, the call needs a key, and this one is missing or unknown.
+/// Returns the tenant that holds the API key of a request; owned by the route table. Returns null if the table has no
+/// tenants, or if the key is missing or unknown and anonymous calls are allowed. Otherwise, a missing or unknown key
+/// gives `kUnauthenticated`.
 Result<const Tenant*> identifyCaller(const RouteTable& routes, bool allows_anonymous, std::string_view key);
 
 }  // namespace hatchfork::request
--- a/tests/request/access/allowed_zones_test.cpp
+++ b/tests/request/access/allowed_zones_test.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("the regions of a route and of its tenant bind both", "[regions]") {
+TEST_CASE("the regions of a route and of its tenant both apply", "[regions]") {
   const RegionId north("north");
   const RegionId south("south");
   const Tenant anywhere = tenantIn({});
@@ -41,11 +41,11 @@
   REQUIRE(namesOfAllowedRegions(routeIn({south}), &northern) == "none that route and tenant both allow");
 }
 
-TEST_CASE("a zone of an unknown region serves nothing that is bound to regions", "[regions]") {
+TEST_CASE("a zone of an unknown region serves no request that is restricted to regions", "[regions]") {
   REQUIRE(allowedZones(routeIn({RegionId("north")}), nullptr, {})->empty());
 }
 
-TEST_CASE("no engine of another region is chosen, by any way", "[regions][selector]") {
+TEST_CASE("no engine of another region is chosen in any mode", "[regions][selector]") {
   constexpr Instant kStart{std::chrono::seconds(100)};
   EngineSelector selector(1);
   EngineRecord north{EngineId("north"), ServiceId("llm"), "10.0.0.1:80", ZoneId("n1"), 8};
--- a/tests/request/access/caller_identity_test.cpp
+++ b/tests/request/access/caller_identity_test.cpp
@@ -22,20 +22,20 @@
 
 }  // namespace
 
-TEST_CASE("a call needs a known key once there are tenants", "[access]") {
+TEST_CASE("a call needs a known key if there are tenants", "[access]") {
   const auto table = tableWith({tenantWithKey("crew", "k")});
   REQUIRE(valueOf(identifyCaller(*table, false, "k"))->id == TenantId("crew"));
   REQUIRE(errorOf(identifyCaller(*table, false, "")).kind == ErrorKind::kUnauthenticated);
   REQUIRE(errorOf(identifyCaller(*table, false, "other")).kind == ErrorKind::kUnauthenticated);
 }
 
-TEST_CASE("an anonymous call is let through without a tenant, and a known key still names one", "[access]") {
+TEST_CASE("an anonymous call passes without a tenant, and a known key still identifies one", "[access]") {
   const auto table = tableWith({tenantWithKey("crew", "k")});
   REQUIRE(valueOf(identifyCaller(*table, true, "")) == nullptr);
   REQUIRE(valueOf(identifyCaller(*table, true, "other")) == nullptr);
   REQUIRE(valueOf(identifyCaller(*table, true, "k"))->id == TenantId("crew"));
 }
 
-TEST_CASE("without tenants no key is asked for", "[access]") {
+TEST_CASE("without tenants no key is required", "[access]") {
   REQUIRE(valueOf(identifyCaller(*tableWith({}), false, "anything")) == nullptr);
 }
