--- a/src/process/exchange/rate_limit_client.cpp
+++ b/src/process/exchange/rate_limit_client.cpp
@@ -89,7 +89,7 @@
   for (Waiter* waiter : entry.waiting) {
     if (!waiter->asked_at && !waiter->reply && unasked.size() < kMostAsks) unasked.push_back(waiter);
   }
-  std::optional<request::CreditQuestion> question = entry.account.nextQuestion(now, unasked.size());
+  std::optional<request::CreditRequest> question = entry.account.nextQuestion(now, unasked.size());
   if (!question) return;
   ++counters_.questions;
   for (Waiter* waiter : unasked) {
@@ -116,7 +116,7 @@
 
 Awaitable<std::optional<Status>> RateLimitClient::followReply(const TenantId& tenant, Entry& entry, Waiter& waiter) {
   const Instant now = monotonicNow();
-  const request::CreditReply reply = *waiter.reply;
+  const request::CreditDecision reply = *waiter.reply;
   if (reply.outcome == request::CreditOutcome::kGranted) {
     entry.account.noteGranted(now);
     co_return okStatus();
@@ -141,7 +141,8 @@
   waiter.since = monotonicNow();
   // What it has waited is gone from what it can still use.
   const Duration waited = waiter.since - now;
-  for (Duration* left : {&waiter.ask.in_time, &waiter.ask.at_all}) *left = std::max(Duration::zero(), *left - waited);
+  for (Duration* left : {&waiter.ask.max_timely_wait, &waiter.ask.max_useful_wait})
+    *left = std::max(Duration::zero(), *left - waited);
   co_return std::nullopt;
 }
 
@@ -168,13 +169,14 @@
                "come back at the given time, or ask the operators for a higher limit", Executed::kNo, come_back_after};
 }
 
-Error RateLimitClient::sentAway(Instant now, const TenantId& tenant, Entry& entry, const request::CreditReply& reply) {
+Error RateLimitClient::sentAway(Instant now, const TenantId& tenant, Entry& entry,
+                                const request::CreditDecision& reply) {
   Error error = overLimit(now, tenant, entry, std::max(reply.after, kShortestReturn));
   const bool is_kept =
-      reply.outcome == request::CreditOutcome::kReturn || reply.outcome == request::CreditOutcome::kWait;
+      reply.outcome == request::CreditOutcome::kRetryReserved || reply.outcome == request::CreditOutcome::kWait;
   if (is_kept) ++counters_.appointments;
   const std::string_view agreed = is_kept ? "a credit is kept for it in"
-                                  : reply.outcome == request::CreditOutcome::kReturnUnkept
+                                  : reply.outcome == request::CreditOutcome::kRetryUnreserved
                                       ? "none is free while its caller stays away, for"
                                       : "none comes while it is of use to its caller; looked ahead";
   error.message += fmt::format("; {} {} ms", agreed, toMillis(reply.after));
@@ -189,8 +191,8 @@
             {"tenant", tenant.value},
             {"outcome", outcome},
             {"kept_after_ms", waiter.reply ? toMillis(waiter.reply->after) : -1},
-            {"in_time_ms", toMillis(waiter.ask.in_time)},
-            {"at_all_ms", toMillis(waiter.ask.at_all)},
+            {"in_time_ms", toMillis(waiter.ask.max_timely_wait)},
+            {"at_all_ms", toMillis(waiter.ask.max_useful_wait)},
             {"level", fmt::format("{:.2f}", entry.account.lastAnswer().level)},
             {"answer_age_ms", answered ? toMillis(monotonicNow() - *answered) : -1},
             {"held_requests", holds_.requests()}});
@@ -215,8 +217,8 @@
   }
 }
 
-void RateLimitClient::takeReplies(const request::CreditAnswer& answer, Entry& entry) {
-  for (const request::CreditReply& reply : answer.replies) {
+void RateLimitClient::takeReplies(const request::CreditResponse& answer, Entry& entry) {
+  for (const request::CreditDecision& reply : answer.replies) {
     const auto waiter = std::find_if(entry.waiting.begin(), entry.waiting.end(), [&](const Waiter* one) {
       return one->asked_at && !one->reply && one->ask.content == reply.content;
     });
@@ -225,7 +227,7 @@
     (*waiter)->is_new_reply = true;
   }
   // Without appointments, credits are for those who wait alike.
-  if (answer.gives_appointments) return;
+  if (answer.supports_scheduled_retries) return;
   for (Waiter* waiter : entry.waiting) {
     if (!waiter->reply) waiter->asked_at.reset();
   }
--- a/src/request/admission/credit_ask.cpp
+++ b/src/request/admission/credit_ask.cpp
@@ -18,10 +18,10 @@
 
 }  // namespace
 
-CreditAsk askOf(Duration objective, Duration left, Duration caller_left) {
-  CreditAsk ask;
-  ask.at_all = std::max(Duration::zero(), left / kLeftParts);
-  ask.in_time = std::min(objective / kObjectiveParts, ask.at_all);
+CreditRequestEntry askOf(Duration objective, Duration left, Duration caller_left) {
+  CreditRequestEntry ask;
+  ask.max_useful_wait = std::max(Duration::zero(), left / kLeftParts);
+  ask.max_timely_wait = std::min(objective / kObjectiveParts, ask.max_useful_wait);
   ask.away = std::max(Duration::zero(), caller_left / kAwayParts - kAwayMargin);
   return ask;
 }
--- a/src/request/admission/credit_ask.hpp
+++ b/src/request/admission/credit_ask.hpp
@@ -12,7 +12,7 @@
 
 /// How long a request can wait here or its caller be sent away: `objective` is its route's, `left` what remains until
 /// it is given up here, `caller_left` until its caller gives it up.
-CreditAsk askOf(Duration objective, Duration left, Duration caller_left);
+CreditRequestEntry askOf(Duration objective, Duration left, Duration caller_left);
 
 /// Names the content of a request by 64 bits, equal for each try of one caller with the same content at whatever
 /// gateway. Who sends what bears the same number as another request gets the place that was kept for that one, within
--- a/src/request/admission/return_schedule.cpp
+++ b/src/request/admission/return_schedule.cpp
@@ -85,7 +85,8 @@
   return place;
 }
 
-CreditReply ReturnSchedule::judge(Instant now, const CreditAsk& ask, double rate, double capacity, double level) {
+CreditDecision ReturnSchedule::judge(Instant now, const CreditRequestEntry& ask, double rate, double capacity,
+                                     double level) {
   expire(now);
   const std::optional<Known> known = recall(ask.content);
   if (known && known->is_promised) return judgeKept(now, ask, known->place.first, rate, level);
@@ -103,7 +104,8 @@
   return known ? judgeReturned(now, ask, rate) : judgeFresh(now, ask, rate);
 }
 
-CreditReply ReturnSchedule::judgeKept(Instant now, const CreditAsk& ask, Instant due, double rate, double level) {
+CreditDecision ReturnSchedule::judgeKept(Instant now, const CreditRequestEntry& ask, Instant due, double rate,
+                                         double level) {
   const bool is_early = now + timeOf(kLines, rate) < due;
   if (!is_early && level >= 1) {
     ++counters_.used;
@@ -112,26 +114,26 @@
   // Early, or the limit was lowered: its place stays.
   const Instant next = std::max(due, now + timeOf(std::max(0.0, 1 - level), rate));
   remember(next, ask.content, true);
-  const bool waits_here = next <= now + std::max({ask.in_time, ask.at_all, limits_.early});
-  return {ask.content, waits_here ? CreditOutcome::kWait : CreditOutcome::kReturn, next - now};
+  const bool waits_here = next <= now + std::max({ask.max_timely_wait, ask.max_useful_wait, limits_.early});
+  return {ask.content, waits_here ? CreditOutcome::kWait : CreditOutcome::kRetryReserved, next - now};
 }
 
-CreditReply ReturnSchedule::judgeFresh(Instant now, const CreditAsk& ask, double rate) {
+CreditDecision ReturnSchedule::judgeFresh(Instant now, const CreditRequestEntry& ask, double rate) {
   const double line_rate = std::max(limits_.floor_part * rate, limits_.spare_part * spare(now, rate));
   if (const auto place = nextPlace(now, away_line_, line_rate, ask.away)) {
     ++counters_.promised;
     remember(*place, ask.content, true);
-    const bool waits_here = *place <= now + ask.in_time;
-    return {ask.content, waits_here ? CreditOutcome::kWait : CreditOutcome::kReturn, *place - now};
+    const bool waits_here = *place <= now + ask.max_timely_wait;
+    return {ask.content, waits_here ? CreditOutcome::kWait : CreditOutcome::kRetryReserved, *place - now};
   }
   ++counters_.unkept;
   remember(now + ask.away, ask.content, false);
-  return {ask.content, CreditOutcome::kReturnUnkept, ask.away};
+  return {ask.content, CreditOutcome::kRetryUnreserved, ask.away};
 }
 
-CreditReply ReturnSchedule::judgeReturned(Instant now, const CreditAsk& ask, double rate) {
+CreditDecision ReturnSchedule::judgeReturned(Instant now, const CreditRequestEntry& ask, double rate) {
   const double line_rate = limits_.spare_part * spare(now, rate);
-  if (const auto place = nextPlace(now, late_line_, line_rate, std::max(ask.in_time, ask.at_all))) {
+  if (const auto place = nextPlace(now, late_line_, line_rate, std::max(ask.max_timely_wait, ask.max_useful_wait))) {
     ++counters_.promised;
     remember(*place, ask.content, true);
     return {ask.content, CreditOutcome::kWait, *place - now};
--- a/src/request/admission/return_schedule.hpp
+++ b/src/request/admission/return_schedule.hpp
@@ -58,7 +58,7 @@
   /// Credits of the bucket that are kept for those whose time has come. `rate` is the limit, `capacity` the bucket's.
   std::size_t kept(Instant now, double rate, double capacity);
   /// Judges a request where the bucket holds `level` credits. One is to be taken from it if the outcome is `kGranted`.
-  CreditReply judge(Instant now, const CreditAsk& ask, double rate, double capacity, double level);
+  CreditDecision judge(Instant now, const CreditRequestEntry& ask, double rate, double capacity, double level);
   /// Until when fresh requests take the whole limit, as far as is known, nothing but the floor is promised.
   void assumeFullUntil(Instant until) { full_until_ = until; }
 
@@ -83,9 +83,9 @@
   double spare(Instant now, double rate) const;
   /// The next time of a line of promises that goes at `rate`, if it comes within `longest`.
   static std::optional<Instant> nextPlace(Instant now, Instant& line, double rate, Duration longest);
-  CreditReply judgeKept(Instant now, const CreditAsk& ask, Instant due, double rate, double level);
-  CreditReply judgeFresh(Instant now, const CreditAsk& ask, double rate);
-  CreditReply judgeReturned(Instant now, const CreditAsk& ask, double rate);
+  CreditDecision judgeKept(Instant now, const CreditRequestEntry& ask, Instant due, double rate, double level);
+  CreditDecision judgeFresh(Instant now, const CreditRequestEntry& ask, double rate);
+  CreditDecision judgeReturned(Instant now, const CreditRequestEntry& ask, double rate);
 
   ReturnScheduleLimits limits_;
   RateMeter fresh_;
--- a/src/request/limits/rate_credit.hpp
+++ b/src/request/limits/rate_credit.hpp
@@ -28,19 +28,19 @@
 };
 
 /// A pending request that waits at a gateway for a credit, as described to the owner of the limit.
-struct CreditAsk {
+struct CreditRequestEntry {
   /// Hash of caller and content: equal for all attempts of one caller with the same content, at any gateway.
   std::uint64_t content = 0;
   /// Rank of the route; zero is the most urgent.
   std::uint32_t rank = 0;
   /// Longest wait at the gateway with which the request still meets its latency target.
-  Duration in_time{};
+  Duration max_timely_wait{};
   /// Longest wait at the gateway with which a late answer is still useful.
-  Duration at_all{};
+  Duration max_useful_wait{};
   /// Longest retry delay that the caller accepts.
   Duration away{};
 
-  bool operator==(const CreditAsk&) const = default;
+  bool operator==(const CreditRequestEntry&) const = default;
 };
 
 /// Decision of the owner on one pending request. The values are sent between processes.
@@ -51,35 +51,35 @@
   /// A credit is reserved for a time so close that the request waits at its gateway and then requests the credit again.
   kWait = 2,
   /// The caller is to retry later; a credit is reserved for the retry.
-  kReturn = 3,
+  kRetryReserved = 3,
   /// The caller is to retry after the longest delay that it accepts; no credit is reserved.
-  kReturnUnkept = 4,
+  kRetryUnreserved = 4,
 };
 
-/// Reply of the owner to one `CreditAsk`.
-struct CreditReply {
+/// Reply of the owner to one `CreditRequestEntry`.
+struct CreditDecision {
   std::uint64_t content = 0;
   CreditOutcome outcome = CreditOutcome::kRefused;
-  /// Delay before the next credit request of the gateway (`kWait`) or the retry of the caller (`kReturn`).
+  /// Delay before the next credit request of the gateway (`kWait`) or the retry of the caller (`kRetryReserved`).
   Duration after{};
 
-  bool operator==(const CreditReply&) const = default;
+  bool operator==(const CreditDecision&) const = default;
 };
 
 /// Message from a gateway to the owner of a limit.
-struct CreditQuestion {
+struct CreditRequest {
   /// Number of credits requested, for pending and expected requests; includes those of `asks`.
   double wanted = 0;
   /// Number of requests of the tenant that arrived at the gateway since its last message.
   double arrivals = 0;
   /// Pending requests; empty from gateways that do not support scheduled retries.
-  std::vector<CreditAsk> asks = {};
+  std::vector<CreditRequestEntry> asks = {};
 
-  bool operator==(const CreditQuestion&) const = default;
+  bool operator==(const CreditRequest&) const = default;
 };
 
 /// Answer of the owner of a limit to a gateway.
-struct CreditAnswer {
+struct CreditResponse {
   /// Number of credits granted in addition to those granted to `asks`.
   double granted = 0;
   /// Recent rate of credits granted to all gateways together, per second.
@@ -89,10 +89,10 @@
   /// Time until the next credit is available; zero if one is available now.
   Duration wait{};
   /// True if the owner replies to each entry of `asks`; false for an owner that does not support scheduled retries.
-  bool gives_appointments = false;
+  bool supports_scheduled_retries = false;
   /// True if credits are so scarce that the owner grants them to pending requests only, none ahead.
-  bool is_tight = false;
-  std::vector<CreditReply> replies = {};
+  bool is_scarce = false;
+  std::vector<CreditDecision> replies = {};
 };
 
 }  // namespace hatchfork::request
--- a/src/request/limits/rate_limit_account.cpp
+++ b/src/request/limits/rate_limit_account.cpp
@@ -61,7 +61,7 @@
   return true;
 }
 
-std::optional<CreditQuestion> RateLimitAccount::nextQuestion(Instant now, std::size_t waiting) {
+std::optional<CreditRequest> RateLimitAccount::nextQuestion(Instant now, std::size_t waiting) {
   if (request_sent_at_ || isOverLimit(now) || isCutOff(now)) return std::nullopt;
   if (now < next_request_at_) return std::nullopt;
   dropExpired(now);
@@ -69,12 +69,12 @@
   const double held = heldCredits();
   if (waiting == 0 && held >= kRefillThreshold * ahead) return std::nullopt;
   request_sent_at_ = now;
-  CreditQuestion question{ahead - std::min(held, ahead) + static_cast<double>(waiting)};
+  CreditRequest question{ahead - std::min(held, ahead) + static_cast<double>(waiting)};
   if (options_.appointments) question.arrivals = std::exchange(unreported_arrivals_, 0);
   return question;
 }
 
-void RateLimitAccount::noteAnswer(Instant now, const CreditAnswer& answer) {
+void RateLimitAccount::noteAnswer(Instant now, const CreditResponse& answer) {
   const std::optional<Instant> sent_at = std::exchange(request_sent_at_, std::nullopt);
   unreachable_until_ = Instant{};
   answered_at_ = now;
@@ -85,8 +85,8 @@
     return;
   }
   if (answer.granted >= 1) batches_.push_back(CreditBatch{answer.granted, *sent_at + options_.creditLifetime()});
-  if (answer.is_tight) next_request_at_ = *sent_at + kBatchingInterval;
-  if (answer.gives_appointments) return;
+  if (answer.is_scarce) next_request_at_ = *sent_at + kBatchingInterval;
+  if (answer.supports_scheduled_retries) return;
   if (answer.granted < 1) over_limit_until_ = now + std::clamp(answer.wait, kShortestPause, kLongestPause);
 }
 
--- a/src/request/limits/rate_limit_account.hpp
+++ b/src/request/limits/rate_limit_account.hpp
@@ -25,8 +25,8 @@
   bool tryTake(Instant now);
   /// Returns the credit request to send to the owner now, for `waiting` pending requests and for expected ones. Returns
   /// nothing while a request is in flight, while the limit is exhausted or if there are enough credits.
-  std::optional<CreditQuestion> nextQuestion(Instant now, std::size_t waiting);
-  void noteAnswer(Instant now, const CreditAnswer& answer);
+  std::optional<CreditRequest> nextQuestion(Instant now, std::size_t waiting);
+  void noteAnswer(Instant now, const CreditResponse& answer);
   /// Records that the request in flight reached no owner or got no answer in time.
   void noteNoAnswer(Instant now, const TenantLimits& limits);
   /// Records that a pending request got its credit directly, as the reply to its own entry.
@@ -47,7 +47,7 @@
   bool isIdle(Instant now) const;
   /// Time of the last answer of the owner; empty before the first one.
   std::optional<Instant> answeredAt() const { return answered_at_; }
-  const CreditAnswer& lastAnswer() const { return last_answer_; }
+  const CreditResponse& lastAnswer() const { return last_answer_; }
 
  private:
   /// Credits of one answer; they expire together.
@@ -72,7 +72,7 @@
   /// Arrivals that have not been reported to the owner.
   double unreported_arrivals_ = 0;
   std::optional<Instant> answered_at_;
-  CreditAnswer last_answer_;
+  CreditResponse last_answer_;
   /// Admission rate of this gateway, per second, when the owner last reported the rate of all gateways.
   double admitted_at_answer_ = 0;
   Instant over_limit_until_{};
--- a/src/request/limits/rate_limit_owner.cpp
+++ b/src/request/limits/rate_limit_owner.cpp
@@ -55,12 +55,13 @@
 }
 
 /// Serves the most urgent rank first, and requests of equal rank in their order of arrival.
-void RateLimitOwner::answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditQuestion& question,
-                                CreditAnswer& answer) const {
+void RateLimitOwner::answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditRequest& question,
+                                CreditResponse& answer) const {
   const double rate = limits.online_requests_per_second;
-  std::vector<CreditAsk> asks = question.asks;
-  std::stable_sort(asks.begin(), asks.end(), [](const CreditAsk& a, const CreditAsk& b) { return a.rank < b.rank; });
-  for (const CreditAsk& ask : asks) {
+  std::vector<CreditRequestEntry> asks = question.asks;
+  std::stable_sort(asks.begin(), asks.end(),
+                   [](const CreditRequestEntry& a, const CreditRequestEntry& b) { return a.rank < b.rank; });
+  for (const CreditRequestEntry& ask : asks) {
     answer.replies.push_back(bucket.schedule.judge(now, ask, rate, capacityOf(limits), bucket.level));
     if (answer.replies.back().outcome != CreditOutcome::kGranted) continue;
     bucket.level -= 1;
@@ -68,13 +69,13 @@
   }
 }
 
-CreditAnswer RateLimitOwner::answer(Instant now, const TenantId& tenant, const TenantLimits& limits,
-                                    const CreditQuestion& question) {
+CreditResponse RateLimitOwner::answer(Instant now, const TenantId& tenant, const TenantLimits& limits,
+                                      const CreditRequest& question) {
   Bucket& bucket = bucketOf(now, tenant, limits);
   const double rate = limits.online_requests_per_second;
   const double capacity = capacityOf(limits);
-  CreditAnswer answer;
-  answer.gives_appointments = options_.appointments;
+  CreditResponse answer;
+  answer.supports_scheduled_retries = options_.appointments;
   double wanted = question.wanted;
   double reserve = 0;
   if (options_.appointments) {
@@ -83,7 +84,7 @@
     answerAsks(now, bucket, limits, question, answer);
     wanted -= static_cast<double>(question.asks.size());
     const double kept = static_cast<double>(bucket.schedule.kept(now, rate, capacity));
-    answer.is_tight = bucket.level - kept < rate * toSeconds(kScarcityThreshold);
+    answer.is_scarce = bucket.level - kept < rate * toSeconds(kScarcityThreshold);
     // A gateway that reports no arrivals may have pending requests among the credits in `wanted`.
     reserve = kept + (reports_arrivals ? rate * toSeconds(kScarcityThreshold) : 0);
   }
--- a/src/request/limits/rate_limit_owner.hpp
+++ b/src/request/limits/rate_limit_owner.hpp
@@ -23,7 +23,7 @@
   /// Records that another process may have owned these limits until now.
   void noteTakeover(Instant now);
   /// Grants credits from the bucket of the tenant.
-  CreditAnswer answer(Instant now, const TenantId& tenant, const TenantLimits& limits, const CreditQuestion& question);
+  CreditResponse answer(Instant now, const TenantId& tenant, const TenantLimits& limits, const CreditRequest& question);
   /// Removes the buckets of idle tenants; their counters are kept.
   void expire(Instant now);
   /// Number of tenants with a bucket.
@@ -42,8 +42,8 @@
   };
 
   double capacityOf(const TenantLimits& limits) const;
-  void answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditQuestion& question,
-                  CreditAnswer& answer) const;
+  void answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditRequest& question,
+                  CreditResponse& answer) const;
   Bucket& bucketOf(Instant now, const TenantId& tenant, const TenantLimits& limits);
 
   RateLimitOptions options_;
--- a/tests/request/admission/hot_tenant_replay.hpp
+++ b/tests/request/admission/hot_tenant_replay.hpp
@@ -92,10 +92,10 @@
  private:
   struct Waiter {
     Caller caller;
-    CreditAsk ask;
+    CreditRequestEntry ask;
     int since_ms = 0;
     bool asked = false;
-    std::optional<CreditReply> reply;
+    std::optional<CreditDecision> reply;
     std::optional<int> held_until_ms;
     bool done = false;
   };
@@ -106,8 +106,8 @@
   };
   struct Message {
     std::size_t gateway = 0;
-    CreditQuestion question;
-    CreditAnswer answer;
+    CreditRequest question;
+    CreditResponse answer;
   };
 
   static constexpr int kWayMs = 1;
@@ -157,7 +157,7 @@
     for (Waiter& waiter : gateway.waiting) {
       if (!waiter.asked && !waiter.reply && !waiter.done) unasked.push_back(&waiter);
     }
-    std::optional<CreditQuestion> question = gateway.account.nextQuestion(at(now_), unasked.size());
+    std::optional<CreditRequest> question = gateway.account.nextQuestion(at(now_), unasked.size());
     if (!question) return;
     ++outcome_.questions;
     for (Waiter* waiter : unasked) {
@@ -178,13 +178,13 @@
       const Message& message = to_gateways_.begin()->second;
       Gateway& gateway = gateways_[message.gateway];
       gateway.account.noteAnswer(at(now_), message.answer);
-      for (const CreditReply& reply : message.answer.replies) takeReply(gateway, reply);
-      if (message.answer.gives_appointments) continue;
+      for (const CreditDecision& reply : message.answer.replies) takeReply(gateway, reply);
+      if (message.answer.supports_scheduled_retries) continue;
       for (Waiter& waiter : gateway.waiting) waiter.asked = false;
     }
   }
 
-  static void takeReply(Gateway& gateway, const CreditReply& reply) {
+  static void takeReply(Gateway& gateway, const CreditDecision& reply) {
     for (Waiter& waiter : gateway.waiting) {
       if (!waiter.asked || waiter.reply || waiter.ask.content != reply.content) continue;
       waiter.reply = reply;
@@ -217,7 +217,7 @@
   }
 
   void follow(Gateway& gateway, Waiter& waiter) {
-    const CreditReply reply = *waiter.reply;
+    const CreditDecision reply = *waiter.reply;
     if (reply.outcome == CreditOutcome::kGranted) {
       gateway.account.noteGranted(at(now_));
       return finish(waiter, [&] { admit(waiter.caller); });
--- a/tests/request/limits/rate_limit_test.cpp
+++ b/tests/request/limits/rate_limit_test.cpp
@@ -33,27 +33,27 @@
 TEST_CASE("an owner grants the burst, then the rate, and returns the time until the next credit", "[limits][rate]") {
   RateLimitOwner owner(withSlack(0));
   const TenantLimits limits = limitOf(10, 5);
-  REQUIRE(owner.answer(at(0), kCrew, limits, CreditQuestion{8}).granted == 5);
-  const CreditAnswer empty = owner.answer(at(0), kCrew, limits, CreditQuestion{1});
+  REQUIRE(owner.answer(at(0), kCrew, limits, CreditRequest{8}).granted == 5);
+  const CreditResponse empty = owner.answer(at(0), kCrew, limits, CreditRequest{1});
   REQUIRE(empty.granted == 0);
   REQUIRE(toMillis(empty.wait) == 100);
-  REQUIRE(owner.answer(at(100), kCrew, limits, CreditQuestion{3}).granted == 1);
-  REQUIRE(owner.answer(at(400), kCrew, limits, CreditQuestion{3}).granted == 3);
+  REQUIRE(owner.answer(at(100), kCrew, limits, CreditRequest{3}).granted == 1);
+  REQUIRE(owner.answer(at(400), kCrew, limits, CreditRequest{3}).granted == 3);
 }
 
 TEST_CASE("lowered and raised limits apply immediately", "[limits][rate]") {
   RateLimitOwner owner(withSlack(0));
-  owner.answer(at(0), kCrew, limitOf(100, 100), CreditQuestion{1});
-  REQUIRE(owner.answer(at(10), kCrew, limitOf(2, 2), CreditQuestion{50}).granted == 2);
-  REQUIRE(owner.answer(at(1010), kCrew, limitOf(40, 40), CreditQuestion{50}).granted == 40);
+  owner.answer(at(0), kCrew, limitOf(100, 100), CreditRequest{1});
+  REQUIRE(owner.answer(at(10), kCrew, limitOf(2, 2), CreditRequest{50}).granted == 2);
+  REQUIRE(owner.answer(at(1010), kCrew, limitOf(40, 40), CreditRequest{50}).granted == 40);
 }
 
 TEST_CASE("buckets are nearly empty after a takeover", "[limits][rate]") {
   RateLimitOwner owner(withSlack(20));
   owner.noteTakeover(at(0));
-  REQUIRE(owner.answer(at(100), kCrew, limitOf(50, 50), CreditQuestion{100}).granted == 15);
+  REQUIRE(owner.answer(at(100), kCrew, limitOf(50, 50), CreditRequest{100}).granted == 15);
   // After one window, credits of the previous owner no longer count.
-  REQUIRE(owner.answer(at(6000), TenantId("office"), limitOf(50, 50), CreditQuestion{100}).granted == 60);
+  REQUIRE(owner.answer(at(6000), TenantId("office"), limitOf(50, 50), CreditRequest{100}).granted == 60);
 }
 
 TEST_CASE("a gateway prefetches credits, and unused credits expire", "[limits][rate]") {
@@ -65,7 +65,7 @@
   REQUIRE(question->wanted > 5);
   // Only one credit request is in flight at a time.
   REQUIRE_FALSE(account.nextQuestion(at(1001), 1));
-  account.noteAnswer(at(1002), CreditAnswer{question->wanted, 40, 0.5, {}});
+  account.noteAnswer(at(1002), CreditResponse{question->wanted, 40, 0.5, {}});
   REQUIRE(account.tryTake(at(1003)));
   REQUIRE_FALSE(account.nextQuestion(at(1003), 0));
   REQUIRE(account.tryTake(at(1499)));
@@ -83,7 +83,7 @@
   account.noteArrival(at(0));
   REQUIRE(account.nextQuestion(at(0), 1));
   account.noteNoAnswer(at(60), limitOf(10, 10));
-  account.noteAnswer(at(4000), CreditAnswer{5, 10, 0.5, {}});
+  account.noteAnswer(at(4000), CreditResponse{5, 10, 0.5, {}});
   REQUIRE_FALSE(account.tryTake(at(4001)));
 }
 
@@ -91,7 +91,7 @@
   RateLimitAccount account;
   account.noteArrival(at(0));
   REQUIRE(account.nextQuestion(at(0), 1));
-  account.noteAnswer(at(2), CreditAnswer{0, 10, 0, fromMillis(150)});
+  account.noteAnswer(at(2), CreditResponse{0, 10, 0, fromMillis(150)});
   REQUIRE(account.isOverLimit(at(100)));
   REQUIRE_FALSE(account.nextQuestion(at(100), 3));
   REQUIRE_FALSE(account.isOverLimit(at(152)));
@@ -104,7 +104,7 @@
   for (int index = 0; index < 50; ++index) {
     account.noteArrival(at(index * 100));
     const auto question = account.nextQuestion(at(index * 100), 1);
-    if (question) account.noteAnswer(at(index * 100), CreditAnswer{1, 10, 0.5, {}});
+    if (question) account.noteAnswer(at(index * 100), CreditResponse{1, 10, 0.5, {}});
     account.tryTake(at(index * 100));
   }
   const Duration first = account.comeBackAfter(at(5000), limits);
@@ -131,7 +131,7 @@
   for (int index = 0; index < 200; ++index) {
     const Instant now = at(index * 100);
     half.noteArrival(now);
-    if (half.nextQuestion(now, 1)) half.noteAnswer(now, CreditAnswer{1, 20, 0.5, {}});
+    if (half.nextQuestion(now, 1)) half.noteAnswer(now, CreditResponse{1, 20, 0.5, {}});
     half.tryTake(now);
   }
   half.noteNoAnswer(at(20000), limits);
@@ -153,7 +153,7 @@
   for (int index = 0; index < 200; ++index) {
     const Instant now = at(index * 100);
     half.noteArrival(now);
-    if (half.nextQuestion(now, 1)) half.noteAnswer(now, CreditAnswer{1, 20, 0.5, {}});
+    if (half.nextQuestion(now, 1)) half.noteAnswer(now, CreditResponse{1, 20, 0.5, {}});
     half.tryTake(now);
   }
   int admitted = 0;
