--- a/src/process/exchange/rate_limit_client.cpp
+++ b/src/process/exchange/rate_limit_client.cpp
@@ -73,14 +73,14 @@
     }
     if (!waiter.asked_at && entry.account.tryTake(now)) co_return okStatus();
     const bool is_late = now >= waiter.since + (waiter.asked_at ? kPatience : kPatienceUnasked);
-    if (is_late) entry.account.noteNoAnswer(now, entry.limits);
-    if (entry.account.isCutOff(now)) co_return admitAlone(now, tenant, entry);
+    if (is_late) entry.account.noteNoResponse(now, entry.limits);
+    if (entry.account.isOwnerUnreachable(now)) co_return admitAlone(now, tenant, entry);
     if (entry.account.isOverLimit(now)) {
       ++counters_.over_limit;
-      co_return overLimit(now, tenant, entry, entry.account.comeBackAfter(now, entry.limits));
+      co_return overLimit(now, tenant, entry, entry.account.retryDelay(now, entry.limits));
     }
     ask(now, tenant, entry);
-    if (!entry.account.isCutOff(now)) co_await waitForAnswer(now, waiter, entry);
+    if (!entry.account.isOwnerUnreachable(now)) co_await waitForAnswer(now, waiter, entry);
   }
 }
 
@@ -89,7 +89,7 @@
   for (Waiter* waiter : entry.waiting) {
     if (!waiter->asked_at && !waiter->reply && unasked.size() < kMostAsks) unasked.push_back(waiter);
   }
-  std::optional<request::CreditRequest> question = entry.account.nextQuestion(now, unasked.size());
+  std::optional<request::CreditRequest> question = entry.account.nextRequest(now, unasked.size());
   if (!question) return;
   ++counters_.questions;
   for (Waiter* waiter : unasked) {
@@ -99,15 +99,15 @@
   }
   const ReplicaId owner = request::limitOwnerOf(tenant, owners_);
   if (!owner.empty() && send_(owner, fleet::CreditQuestionFrame{tenant, *question})) return;
-  entry.account.noteNoAnswer(now, entry.limits);
+  entry.account.noteNoResponse(now, entry.limits);
   logEvent(LogLevel::kInfo, "rate_limit_owner_lost",
            {{"tenant", tenant.value}, {"owner", owner.value}, {"cause", "no connection"}});
 }
 
 Awaitable<void> RateLimitClient::waitForAnswer(Instant now, Waiter& waiter, const Entry& entry) {
   Instant until = waiter.since + (waiter.asked_at ? kPatience : kPatienceUnasked);
-  if (!waiter.asked_at && !entry.account.isAsking()) {
-    until = std::min(until, entry.account.askAgainAt());
+  if (!waiter.asked_at && !entry.account.isRequestInFlight()) {
+    until = std::min(until, entry.account.nextRequestAt());
   }
   waiter.timer.expires_at(std::max(until, now + kShortestWait));
   boost::system::error_code ignored;
@@ -147,7 +147,7 @@
 }
 
 Status RateLimitClient::admitAlone(Instant now, const TenantId& tenant, Entry& entry) {
-  const bool has_part = entry.account.tryTakeOwnPart(now);
+  const bool has_part = entry.account.tryTakeLocalShare(now);
   logEvent(LogLevel::kInfo, "rate_limit_unanswered", {{"tenant", tenant.value}, {"admitted", has_part}});
   if (has_part) {
     ++counters_.admitted_alone;
@@ -161,11 +161,11 @@
 }
 
 Error RateLimitClient::overLimit(Instant now, const TenantId& tenant, Entry& entry, Duration come_back_after) const {
-  const auto answered = entry.account.answeredAt();
+  const auto answered = entry.account.lastResponseAt();
   return Error{ErrorKind::kRateLimited,
                fmt::format("tenant {} is over its limit of {:g} requests a second: {:.1f} lately, as told {} ms ago",
                            tenant.value, entry.limits.online_requests_per_second,
-                           entry.account.lastAnswer().used_per_second, answered ? toMillis(now - *answered) : -1),
+                           entry.account.lastResponse().used_per_second, answered ? toMillis(now - *answered) : -1),
                "come back at the given time, or ask the operators for a higher limit", Executed::kNo, come_back_after};
 }
 
@@ -185,7 +185,7 @@
 
 void RateLimitClient::logWait(const TenantId& tenant, const Entry& entry, const Waiter& waiter,
                               std::string_view outcome) const {
-  const auto answered = entry.account.answeredAt();
+  const auto answered = entry.account.lastResponseAt();
   logEvent(LogLevel::kInfo, "credit_awaited",
            {{"request", waiter.limited.id},
             {"tenant", tenant.value},
@@ -193,7 +193,7 @@
             {"kept_after_ms", waiter.reply ? toMillis(waiter.reply->after) : -1},
             {"in_time_ms", toMillis(waiter.ask.max_timely_wait)},
             {"at_all_ms", toMillis(waiter.ask.max_useful_wait)},
-            {"level", fmt::format("{:.2f}", entry.account.lastAnswer().level)},
+            {"level", fmt::format("{:.2f}", entry.account.lastResponse().level)},
             {"answer_age_ms", answered ? toMillis(monotonicNow() - *answered) : -1},
             {"held_requests", holds_.requests()}});
 }
@@ -204,10 +204,10 @@
   Entry& entry = found->second;
   const Instant now = monotonicNow();
   if (frame.is_owner) {
-    entry.account.noteAnswer(now, frame.answer);
+    entry.account.noteResponse(now, frame.answer);
     takeReplies(frame.answer, entry);
   } else {
-    entry.account.noteNoAnswer(now, entry.limits);
+    entry.account.noteNoResponse(now, entry.limits);
     logEvent(LogLevel::kInfo, "rate_limit_owner_lost", {{"tenant", frame.tenant.value}, {"cause", "not the owner"}});
   }
   for (Waiter* waiter : entry.waiting) {
--- a/src/request/limits/rate_limit_account.cpp
+++ b/src/request/limits/rate_limit_account.cpp
@@ -61,20 +61,20 @@
   return true;
 }
 
-std::optional<CreditRequest> RateLimitAccount::nextQuestion(Instant now, std::size_t waiting) {
-  if (request_sent_at_ || isOverLimit(now) || isCutOff(now)) return std::nullopt;
+std::optional<CreditRequest> RateLimitAccount::nextRequest(Instant now, std::size_t waiting) {
+  if (request_sent_at_ || isOverLimit(now) || isOwnerUnreachable(now)) return std::nullopt;
   if (now < next_request_at_) return std::nullopt;
   dropExpired(now);
   const double ahead = std::floor(kPrefetchFraction * toSeconds(options_.creditLifetime()) * arrivals_.rate(now));
   const double held = heldCredits();
   if (waiting == 0 && held >= kRefillThreshold * ahead) return std::nullopt;
   request_sent_at_ = now;
-  CreditRequest question{ahead - std::min(held, ahead) + static_cast<double>(waiting)};
-  if (options_.appointments) question.arrivals = std::exchange(unreported_arrivals_, 0);
-  return question;
+  CreditRequest credit_request{ahead - std::min(held, ahead) + static_cast<double>(waiting)};
+  if (options_.appointments) credit_request.arrivals = std::exchange(unreported_arrivals_, 0);
+  return credit_request;
 }
 
-void RateLimitAccount::noteAnswer(Instant now, const CreditResponse& answer) {
+void RateLimitAccount::noteResponse(Instant now, const CreditResponse& answer) {
   const std::optional<Instant> sent_at = std::exchange(request_sent_at_, std::nullopt);
   unreachable_until_ = Instant{};
   answered_at_ = now;
@@ -98,7 +98,7 @@
   return std::min(1.0, admitted_at_answer_ / last_answer_.used_per_second);
 }
 
-void RateLimitAccount::noteNoAnswer(Instant now, const TenantLimits& limits) {
+void RateLimitAccount::noteNoResponse(Instant now, const TenantLimits& limits) {
   request_sent_at_.reset();
   unreachable_until_ = now + kUnreachableRetryInterval;
   const double rate = limits.online_requests_per_second * localShare();
@@ -114,13 +114,13 @@
   local_bucket_until_ = now + options_.window;
 }
 
-bool RateLimitAccount::tryTakeOwnPart(Instant now) {
+bool RateLimitAccount::tryTakeLocalShare(Instant now) {
   if (!local_bucket_.tryTake(now)) return false;
   admitted_.note(now, 1);
   return true;
 }
 
-Duration RateLimitAccount::comeBackAfter(Instant now, const TenantLimits& limits) {
+Duration RateLimitAccount::retryDelay(Instant now, const TenantLimits& limits) {
   const double rate = limits.online_requests_per_second * localShare();
   const double pause_seconds = rate <= 0 ? toSeconds(kLongestRetryDelay) : 1 / rate;
   const Duration pause(static_cast<Duration::rep>(std::min(pause_seconds, toSeconds(kLongestRetryDelay)) * 1e6));
--- a/src/request/limits/rate_limit_account.hpp
+++ b/src/request/limits/rate_limit_account.hpp
@@ -25,29 +25,29 @@
   bool tryTake(Instant now);
   /// Returns the credit request to send to the owner now, for `waiting` pending requests and for expected ones. Returns
   /// nothing while a request is in flight, while the limit is exhausted or if there are enough credits.
-  std::optional<CreditRequest> nextQuestion(Instant now, std::size_t waiting);
-  void noteAnswer(Instant now, const CreditResponse& answer);
+  std::optional<CreditRequest> nextRequest(Instant now, std::size_t waiting);
+  void noteResponse(Instant now, const CreditResponse& answer);
   /// Records that the request in flight reached no owner or got no answer in time.
-  void noteNoAnswer(Instant now, const TenantLimits& limits);
+  void noteNoResponse(Instant now, const TenantLimits& limits);
   /// Records that a pending request got its credit directly, as the reply to its own entry.
   void noteGranted(Instant now) { admitted_.note(now, 1); }
   /// Earliest time of the next credit request; while credits are scarce, pending requests are batched.
-  Instant askAgainAt() const { return next_request_at_; }
-  bool isAsking() const { return request_sent_at_.has_value(); }
+  Instant nextRequestAt() const { return next_request_at_; }
+  bool isRequestInFlight() const { return request_sent_at_.has_value(); }
   /// True while the owner has reported that no credit is left.
   bool isOverLimit(Instant now) const { return now < over_limit_until_; }
   /// True while the owner is considered unreachable.
-  bool isCutOff(Instant now) const { return now < unreachable_until_; }
+  bool isOwnerUnreachable(Instant now) const { return now < unreachable_until_; }
   /// Admits a request without the owner, from the local share of this gateway; returns false if the share is used up.
-  bool tryTakeOwnPart(Instant now);
+  bool tryTakeLocalShare(Instant now);
   /// Returns the retry delay of a caller that is over the limit. Each call returns a later time than the one before, up
   /// to a maximum, so that callers do not all retry at once.
-  Duration comeBackAfter(Instant now, const TenantLimits& limits);
+  Duration retryDelay(Instant now, const TenantLimits& limits);
 
   bool isIdle(Instant now) const;
   /// Time of the last answer of the owner; empty before the first one.
-  std::optional<Instant> answeredAt() const { return answered_at_; }
-  const CreditResponse& lastAnswer() const { return last_answer_; }
+  std::optional<Instant> lastResponseAt() const { return answered_at_; }
+  const CreditResponse& lastResponse() const { return last_answer_; }
 
  private:
   /// Credits of one answer; they expire together.
--- a/src/request/limits/rate_limit_owner.cpp
+++ b/src/request/limits/rate_limit_owner.cpp
@@ -55,10 +55,10 @@
 }
 
 /// Serves the most urgent rank first, and requests of equal rank in their order of arrival.
-void RateLimitOwner::answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditRequest& question,
-                                CreditResponse& answer) const {
+void RateLimitOwner::answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits,
+                                const CreditRequest& credit_request, CreditResponse& answer) const {
   const double rate = limits.online_requests_per_second;
-  std::vector<CreditRequestEntry> asks = question.asks;
+  std::vector<CreditRequestEntry> asks = credit_request.asks;
   std::stable_sort(asks.begin(), asks.end(),
                    [](const CreditRequestEntry& a, const CreditRequestEntry& b) { return a.rank < b.rank; });
   for (const CreditRequestEntry& ask : asks) {
@@ -70,19 +70,19 @@
 }
 
 CreditResponse RateLimitOwner::answer(Instant now, const TenantId& tenant, const TenantLimits& limits,
-                                      const CreditRequest& question) {
+                                      const CreditRequest& credit_request) {
   Bucket& bucket = bucketOf(now, tenant, limits);
   const double rate = limits.online_requests_per_second;
   const double capacity = capacityOf(limits);
   CreditResponse answer;
   answer.supports_scheduled_retries = options_.appointments;
-  double wanted = question.wanted;
+  double wanted = credit_request.wanted;
   double reserve = 0;
   if (options_.appointments) {
-    const bool reports_arrivals = question.arrivals > 0 || !question.asks.empty();
-    bucket.schedule.noteArrivals(now, reports_arrivals ? question.arrivals : question.wanted);
-    answerAsks(now, bucket, limits, question, answer);
-    wanted -= static_cast<double>(question.asks.size());
+    const bool reports_arrivals = credit_request.arrivals > 0 || !credit_request.asks.empty();
+    bucket.schedule.noteArrivals(now, reports_arrivals ? credit_request.arrivals : credit_request.wanted);
+    answerAsks(now, bucket, limits, credit_request, answer);
+    wanted -= static_cast<double>(credit_request.asks.size());
     const double kept = static_cast<double>(bucket.schedule.kept(now, rate, capacity));
     answer.is_scarce = bucket.level - kept < rate * toSeconds(kScarcityThreshold);
     // A gateway that reports no arrivals may have pending requests among the credits in `wanted`.
--- a/src/request/limits/rate_limit_owner.hpp
+++ b/src/request/limits/rate_limit_owner.hpp
@@ -23,7 +23,8 @@
   /// Records that another process may have owned these limits until now.
   void noteTakeover(Instant now);
   /// Grants credits from the bucket of the tenant.
-  CreditResponse answer(Instant now, const TenantId& tenant, const TenantLimits& limits, const CreditRequest& question);
+  CreditResponse answer(Instant now, const TenantId& tenant, const TenantLimits& limits,
+                        const CreditRequest& credit_request);
   /// Removes the buckets of idle tenants; their counters are kept.
   void expire(Instant now);
   /// Number of tenants with a bucket.
@@ -42,7 +43,7 @@
   };
 
   double capacityOf(const TenantLimits& limits) const;
-  void answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditRequest& question,
+  void answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditRequest& credit_request,
                   CreditResponse& answer) const;
   Bucket& bucketOf(Instant now, const TenantId& tenant, const TenantLimits& limits);
 
--- a/tests/request/admission/hot_tenant_replay.hpp
+++ b/tests/request/admission/hot_tenant_replay.hpp
@@ -157,7 +157,7 @@
     for (Waiter& waiter : gateway.waiting) {
       if (!waiter.asked && !waiter.reply && !waiter.done) unasked.push_back(&waiter);
     }
-    std::optional<CreditRequest> question = gateway.account.nextQuestion(at(now_), unasked.size());
+    std::optional<CreditRequest> question = gateway.account.nextRequest(at(now_), unasked.size());
     if (!question) return;
     ++outcome_.questions;
     for (Waiter* waiter : unasked) {
@@ -177,7 +177,7 @@
     for (; !to_gateways_.empty() && to_gateways_.begin()->first <= now_; to_gateways_.erase(to_gateways_.begin())) {
       const Message& message = to_gateways_.begin()->second;
       Gateway& gateway = gateways_[message.gateway];
-      gateway.account.noteAnswer(at(now_), message.answer);
+      gateway.account.noteResponse(at(now_), message.answer);
       for (const CreditDecision& reply : message.answer.replies) takeReply(gateway, reply);
       if (message.answer.supports_scheduled_retries) continue;
       for (Waiter& waiter : gateway.waiting) waiter.asked = false;
@@ -211,7 +211,7 @@
     if (waiter.reply) return follow(gateway, waiter);
     if (!waiter.asked && gateway.account.tryTake(at(now_))) return finish(waiter, [&] { admit(waiter.caller); });
     if (gateway.account.isOverLimit(at(now_))) {
-      const Duration after = gateway.account.comeBackAfter(at(now_), limits_);
+      const Duration after = gateway.account.retryDelay(at(now_), limits_);
       return finish(waiter, [&] { refuse(waiter.caller, after); });
     }
   }
--- a/tests/request/limits/rate_limit_test.cpp
+++ b/tests/request/limits/rate_limit_test.cpp
@@ -60,14 +60,14 @@
   RateLimitAccount account;
   for (int index = 0; index < 40; ++index) account.noteArrival(at(index * 25));
   REQUIRE_FALSE(account.tryTake(at(1000)));
-  const auto question = account.nextQuestion(at(1000), 1);
-  REQUIRE(question);
-  REQUIRE(question->wanted > 5);
+  const auto credit_request = account.nextRequest(at(1000), 1);
+  REQUIRE(credit_request);
+  REQUIRE(credit_request->wanted > 5);
   // Only one credit request is in flight at a time.
-  REQUIRE_FALSE(account.nextQuestion(at(1001), 1));
-  account.noteAnswer(at(1002), CreditResponse{question->wanted, 40, 0.5, {}});
+  REQUIRE_FALSE(account.nextRequest(at(1001), 1));
+  account.noteResponse(at(1002), CreditResponse{credit_request->wanted, 40, 0.5, {}});
   REQUIRE(account.tryTake(at(1003)));
-  REQUIRE_FALSE(account.nextQuestion(at(1003), 0));
+  REQUIRE_FALSE(account.nextRequest(at(1003), 0));
   REQUIRE(account.tryTake(at(1499)));
   REQUIRE_FALSE(account.tryTake(at(1500)));
 }
@@ -75,27 +75,27 @@
 TEST_CASE("a single request requests one credit only", "[limits][rate]") {
   RateLimitAccount account;
   account.noteArrival(at(0));
-  REQUIRE(account.nextQuestion(at(0), 1)->wanted == 1);
+  REQUIRE(account.nextRequest(at(0), 1)->wanted == 1);
 }
 
 TEST_CASE("credits of an answer that arrives after its time-out are not used", "[limits][rate]") {
   RateLimitAccount account;
   account.noteArrival(at(0));
-  REQUIRE(account.nextQuestion(at(0), 1));
-  account.noteNoAnswer(at(60), limitOf(10, 10));
-  account.noteAnswer(at(4000), CreditResponse{5, 10, 0.5, {}});
+  REQUIRE(account.nextRequest(at(0), 1));
+  account.noteNoResponse(at(60), limitOf(10, 10));
+  account.noteResponse(at(4000), CreditResponse{5, 10, 0.5, {}});
   REQUIRE_FALSE(account.tryTake(at(4001)));
 }
 
 TEST_CASE("over the limit a gateway rejects immediately and requests credits only after a pause", "[limits][rate]") {
   RateLimitAccount account;
   account.noteArrival(at(0));
-  REQUIRE(account.nextQuestion(at(0), 1));
-  account.noteAnswer(at(2), CreditResponse{0, 10, 0, fromMillis(150)});
+  REQUIRE(account.nextRequest(at(0), 1));
+  account.noteResponse(at(2), CreditResponse{0, 10, 0, fromMillis(150)});
   REQUIRE(account.isOverLimit(at(100)));
-  REQUIRE_FALSE(account.nextQuestion(at(100), 3));
+  REQUIRE_FALSE(account.nextRequest(at(100), 3));
   REQUIRE_FALSE(account.isOverLimit(at(152)));
-  REQUIRE(account.nextQuestion(at(152), 1));
+  REQUIRE(account.nextRequest(at(152), 1));
 }
 
 TEST_CASE("retry times of callers over the limit are spaced at the available rate", "[limits][rate]") {
@@ -103,16 +103,16 @@
   const TenantLimits limits = limitOf(10, 10);
   for (int index = 0; index < 50; ++index) {
     account.noteArrival(at(index * 100));
-    const auto question = account.nextQuestion(at(index * 100), 1);
-    if (question) account.noteAnswer(at(index * 100), CreditResponse{1, 10, 0.5, {}});
+    const auto credit_request = account.nextRequest(at(index * 100), 1);
+    if (credit_request) account.noteResponse(at(index * 100), CreditResponse{1, 10, 0.5, {}});
     account.tryTake(at(index * 100));
   }
-  const Duration first = account.comeBackAfter(at(5000), limits);
-  const Duration second = account.comeBackAfter(at(5000), limits);
+  const Duration first = account.retryDelay(at(5000), limits);
+  const Duration second = account.retryDelay(at(5000), limits);
   REQUIRE(second > first);
   REQUIRE(toMillis(second - first) < 300);
-  for (int index = 0; index < 100; ++index) account.comeBackAfter(at(5000), limits);
-  REQUIRE(account.comeBackAfter(at(5000), limits) <= std::chrono::seconds(2));
+  for (int index = 0; index < 100; ++index) account.retryDelay(at(5000), limits);
+  REQUIRE(account.retryDelay(at(5000), limits) <= std::chrono::seconds(2));
 }
 
 TEST_CASE("without its owner a gateway admits its share of the usage, or one request if no usage was received",
@@ -120,24 +120,24 @@
   const TenantLimits limits = limitOf(40, 40);
   RateLimitAccount without_usage;
   without_usage.noteArrival(at(0));
-  without_usage.nextQuestion(at(0), 1);
-  without_usage.noteNoAnswer(at(60), limits);
-  REQUIRE(without_usage.isCutOff(at(100)));
-  REQUIRE(without_usage.tryTakeOwnPart(at(100)));
-  REQUIRE_FALSE(without_usage.tryTakeOwnPart(at(2000)));
+  without_usage.nextRequest(at(0), 1);
+  without_usage.noteNoResponse(at(60), limits);
+  REQUIRE(without_usage.isOwnerUnreachable(at(100)));
+  REQUIRE(without_usage.tryTakeLocalShare(at(100)));
+  REQUIRE_FALSE(without_usage.tryTakeLocalShare(at(2000)));
 
   // This gateway has half of the usage: 10 of 20 requests per second.
   RateLimitAccount half;
   for (int index = 0; index < 200; ++index) {
     const Instant now = at(index * 100);
     half.noteArrival(now);
-    if (half.nextQuestion(now, 1)) half.noteAnswer(now, CreditResponse{1, 20, 0.5, {}});
+    if (half.nextRequest(now, 1)) half.noteResponse(now, CreditResponse{1, 20, 0.5, {}});
     half.tryTake(now);
   }
-  half.noteNoAnswer(at(20000), limits);
+  half.noteNoResponse(at(20000), limits);
   int admitted = 0;
   for (int index = 0; index < 200; ++index) {
-    if (half.tryTakeOwnPart(at(20000 + index * 10))) ++admitted;
+    if (half.tryTakeLocalShare(at(20000 + index * 10))) ++admitted;
   }
   // Two seconds at half of 40 requests per second, and a burst worth 0.2 s of that rate.
   REQUIRE(admitted >= 40);
@@ -153,15 +153,15 @@
   for (int index = 0; index < 200; ++index) {
     const Instant now = at(index * 100);
     half.noteArrival(now);
-    if (half.nextQuestion(now, 1)) half.noteAnswer(now, CreditResponse{1, 20, 0.5, {}});
+    if (half.nextRequest(now, 1)) half.noteResponse(now, CreditResponse{1, 20, 0.5, {}});
     half.tryTake(now);
   }
   int admitted = 0;
   for (int index = 0; index < 500; ++index) {
     const Instant now = at(20000 + index * 10);
     half.noteArrival(now);
-    if (index % 30 == 0) half.noteNoAnswer(now, limits);
-    if (half.tryTakeOwnPart(now)) ++admitted;
+    if (index % 30 == 0) half.noteNoResponse(now, limits);
+    if (half.tryTakeLocalShare(now)) ++admitted;
   }
   // Five seconds at half of 40 requests per second, and a burst worth 0.2 s of that rate.
   REQUIRE(admitted >= 95);
