--- a/src/process/store/job_executor.hpp
+++ b/src/process/store/job_executor.hpp
@@ -98,7 +98,7 @@
   std::size_t waiting() const { return queue_.size() + held_.size(); }
   const request::BatchTrough& trough() const { return trough_; }
   const std::set<ServiceId>& batchServices() const { return batch_services_; }
-  Duration wholeRunTime() const { return run_times_.wholeTime(); }
+  Duration wholeRunTime() const { return run_times_.totalRunTime(); }
 
  private:
   static constexpr Duration kYieldInterval = fromMillis(50);
--- a/src/request/admission/batch_trough.cpp
+++ b/src/request/admission/batch_trough.cpp
@@ -95,7 +95,7 @@
   for (std::size_t i = 0; i < waiting.size(); ++i) {
     const WaitingItem& item = waiting[i];
     const auto service = services_.find(item.service);
-    if (service == services_.end() || isHopeless(now, item.order)) continue;
+    if (service == services_.end() || cannotFinishInTime(now, item.order)) continue;
     Pace& pace = paces.at(item.service);
     const double slack = toSeconds(slackOf(now, item.order)) - pace.begins_in;
     pace.begins_in += toSeconds(item.order.time_left) / pace.places;
--- a/src/request/admission/yield_choice.cpp
+++ b/src/request/admission/yield_choice.cpp
@@ -33,7 +33,7 @@
     } else if (has_slack && candidate.events != other.events) {
       goes_first = candidate.events < other.events;
     } else {
-      goes_first = goesBefore(now, other.order, candidate.order);
+      goes_first = precedes(now, other.order, candidate.order);
     }
     if (!goes_first) continue;
     best = i;
--- a/src/request/batch/due_order.hpp
+++ b/src/request/batch/due_order.hpp
@@ -16,13 +16,13 @@
 Duration slackOf(Instant now, const DueItem& item);
 
 /// True if the item will be late even if it takes much less time than estimated.
-bool isHopeless(Instant now, const DueItem& item);
+bool cannotFinishInTime(Instant now, const DueItem& item);
 
 /// True if `left` is ordered before `right`. Items that can still be finished in time come before those that cannot;
 /// within each group, the smaller sum of due time and remaining time comes first. Of two items with the same due time,
 /// the one that is nearly done therefore comes first, so that more items are in time if not all can be. Items that can
 /// no longer be in time are not dropped: they run in slots that no other item needs.
-bool goesBefore(Instant now, const DueItem& left, const DueItem& right);
+bool precedes(Instant now, const DueItem& left, const DueItem& right);
 
 /// Slack, as a multiple of the time of a whole run, between which the urgency of an item rises: zero from
 /// `relaxed_runs` upwards, one from `pressing_runs` downwards.
--- a/src/request/batch/lease_demand.hpp
+++ b/src/request/batch/lease_demand.hpp
@@ -27,7 +27,7 @@
 /// Detects leased items that this gateway cannot place because the engines of the service left or were assigned to
 /// another gateway. Such items are returned, so that the new owner of the engines can run them. Used by one traffic
 /// thread.
-class StrandedItems {
+class StrandedItemDetector {
  public:
   /// Call regularly with the load of the service. Returns true if its ready items are to be returned now.
   bool update(Instant now, const ServiceBatchLoad& load);
--- a/src/request/batch/lease_pacer.hpp
+++ b/src/request/batch/lease_pacer.hpp
@@ -29,7 +29,7 @@
   /// `holds_items`: there are leases to renew.
   bool isDue(Instant now, bool needs_items, bool holds_items) const;
   /// Ends the pause after a request without items, because the group has items again.
-  void askAtOnce() { next_request_at_ = Instant{}; }
+  void requestImmediately() { next_request_at_ = Instant{}; }
 
   /// Records that a request was sent. `needs_items`: the request asks for items.
   void recordSent(Instant now, bool needs_items);
--- a/src/request/batch/run_time_model.cpp
+++ b/src/request/batch/run_time_model.cpp
@@ -18,11 +18,11 @@
   updateMean(event_ms_, toSeconds(taken) * 1000 / static_cast<double>(events));
 }
 
-void RunTimeModel::noteWhole(std::uint64_t events) {
+void RunTimeModel::noteCompletedItem(std::uint64_t events) {
   if (events > 0) updateMean(whole_events_, static_cast<double>(events));
 }
 
-Duration RunTimeModel::timeLeft(std::uint64_t events_made) const {
+Duration RunTimeModel::remainingTime(std::uint64_t events_made) const {
   if (whole_events_ == 0) return initial_estimate_;
   const double min_left = whole_events_ * limits_.min_remaining_fraction;
   const double left = std::max(min_left, whole_events_ - static_cast<double>(events_made));
--- a/src/request/batch/run_time_model.hpp
+++ b/src/request/batch/run_time_model.hpp
@@ -27,15 +27,15 @@
   explicit RunTimeModel(RunTimeModelLimits limits = {}) : limits_(limits) {}
 
   /// Sets the time of a whole run that is assumed until the first observation.
-  void setGuess(Duration whole_time) { initial_estimate_ = whole_time; }
+  void setInitialEstimate(Duration whole_time) { initial_estimate_ = whole_time; }
   /// Records a run that produced `events` events within `taken`, counted from its first event.
   void notePace(std::uint64_t events, Duration taken);
   /// Records an item that was completed with `events` events over all its runs.
-  void noteWhole(std::uint64_t events);
+  void noteCompletedItem(std::uint64_t events);
   /// Estimated remaining run time of an item that has produced `events_made` events.
-  Duration timeLeft(std::uint64_t events_made) const;
+  Duration remainingTime(std::uint64_t events_made) const;
   /// Estimated run time of an item from start to end.
-  Duration wholeTime() const { return timeLeft(0); }
+  Duration totalRunTime() const { return remainingTime(0); }
 
  private:
   void updateMean(double& mean, double value) const;
--- a/tests/request/admission/batch_trough_test.cpp
+++ b/tests/request/admission/batch_trough_test.cpp
@@ -166,7 +166,7 @@
       }
     }
     std::stable_sort(waiting_.begin(), waiting_.end(), [&](const Item& left, const Item& right) {
-      return goesBefore(now, {left.due, expected(left)}, {right.due, expected(right)});
+      return precedes(now, {left.due, expected(left)}, {right.due, expected(right)});
     });
     std::vector<WaitingItem> waiting;
     for (const Item& item : waiting_) waiting.push_back({kService, {item.due, expected(item)}});
