--- a/src/process/store/store_program_crashes.cpp
+++ b/src/process/store/store_program_crashes.cpp
@@ -67,7 +67,7 @@
   const std::uint64_t digest = crashes_.digest();
   if (!executor_->isLeading() || keeping_crashes_ || digest == crashes_looked_at_) return;
   KeepCrashes command;
-  for (const request::CrashRecord& record : crashes_.crashesOfConvicted(now)) {
+  for (const request::CrashRecord& record : crashes_.crashesOfQuarantined(now)) {
     if (kept.contains(record.content, record.engine)) continue;
     if (command.crashes.size() >= kMostCrashesOfCommand) break;
     command.crashes.push_back({record.content, record.engine, wall - record.age_ms, record.ran_ms});
--- a/src/request/crash/crash_ledger.hpp
+++ b/src/request/crash/crash_ledger.hpp
@@ -23,7 +23,7 @@
 };
 
 /// Record of a request that got a complete answer and thus did not crash its engine.
-struct InnocenceRecord {
+struct CompleteAnswerRecord {
   RequestFingerprint content;
   /// Time since the answer, in milliseconds.
   std::int64_t age_ms = 0;
@@ -78,7 +78,7 @@
   /// counts.
   bool noteCrash(Instant at, Duration ran, const RequestFingerprint& content, const EngineId& engine);
   /// Records a complete answer. Returns true if the request has records and this answer is newer than earlier ones.
-  bool noteInnocent(Instant at, const RequestFingerprint& content);
+  bool noteCompleteAnswer(Instant at, const RequestFingerprint& content);
   /// Returns the verdict on a request. The first call after a change re-evaluates all requests.
   CrashVerdict judge(const RequestFingerprint& content);
   /// True if there are no records, so that callers can skip the lookup.
@@ -93,9 +93,9 @@
   /// Returns the newest crash records, at most `most`, the newest first.
   std::vector<CrashRecord> crashes(Instant now, std::size_t most) const;
   /// Returns the crash records of all requests that are or were in quarantine.
-  std::vector<CrashRecord> crashesOfConvicted(Instant now);
+  std::vector<CrashRecord> crashesOfQuarantined(Instant now);
   /// Returns the requests with a complete answer, at most `most`.
-  std::vector<InnocenceRecord> innocents(Instant now, std::size_t most) const;
+  std::vector<CompleteAnswerRecord> innocents(Instant now, std::size_t most) const;
   /// Hash of all crash records; equal for ledgers with the same crashes.
   std::uint64_t digest() const;
 
--- a/tests/recorded/samples.hpp
+++ b/tests/recorded/samples.hpp
@@ -279,7 +279,7 @@
   crash.engine = EngineId("i-2");
   crash.age_ms = 100;
   crash.ran_ms = 50;
-  request::InnocenceRecord innocent;
+  request::CompleteAnswerRecord innocent;
   innocent.content = request::RequestFingerprint("ef01");
   innocent.age_ms = 60;
   fleet::SuspectRun run;
