--- a/src/process/storage/disk.hpp
+++ b/src/process/storage/disk.hpp
@@ -13,8 +13,8 @@
 /// Called on the control thread when a sync has ended.
 using SyncCallback = std::function<void(Status)>;
 
-/// The file operations that durable state needs, below one data folder. Implemented by `PosixDisk` in the programs and
-/// by `SimulatedDisk` in tests. Names are relative paths without "..". Nothing is durable before a `sync` has reported
+/// File operations for durable state, below one data folder. Implemented by `PosixDisk` in the programs and by
+/// `SimulatedDisk` in tests. Names are relative paths without "..". Nothing is durable before a `sync` has reported
 /// success: a simulated crash loses, tears or keeps whatever was not synced.
 ///
 /// Threading: used from the control thread only; `sync` may work on another thread but calls back on the control
@@ -31,14 +31,14 @@
   virtual Result<std::uint64_t> size(const std::string& name) = 0;
   /// Part of a file; shorter than `length` at the end of the file.
   virtual Result<std::string> readRange(const std::string& name, std::uint64_t offset, std::uint64_t length) = 0;
-  /// Adds bytes at the end; creates the file and its folders where absent.
+  /// Appends bytes; creates the file and its folders if absent.
   virtual Status append(const std::string& name, std::string_view bytes) = 0;
-  /// Cuts a file to `size` bytes.
+  /// Truncates a file to `size` bytes.
   virtual Status truncate(const std::string& name, std::uint64_t size) = 0;
-  /// Replaces a file as a whole: after a crash it holds either the old or the new content. Durable on return.
+  /// Replaces a file atomically: after a crash, the file has either the old or the new content. Durable on return.
   virtual Status replace(const std::string& name, std::string_view bytes) = 0;
   virtual Status remove(const std::string& name) = 0;
-  /// Makes everything appended to `name` before this call durable, then calls back. Calls back in order of the calls.
+  /// Makes all data appended to `name` before this call durable, then calls `done`; callbacks run in call order.
   virtual void sync(const std::string& name, SyncCallback done) = 0;
 };
 
--- a/src/process/storage/posix_disk.cpp
+++ b/src/process/storage/posix_disk.cpp
@@ -43,7 +43,7 @@
   int descriptor_;
 };
 
-/// Zero or an error number.
+/// Returns zero or an error number.
 int writeAll(int descriptor, std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t written = ::write(descriptor, bytes.data(), bytes.size());
@@ -54,7 +54,7 @@
   return 0;
 }
 
-/// Zero or an error number.
+/// Returns zero or an error number.
 int syncFolder(const std::string& path) {
   const DescriptorGuard folder(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (folder.get() < 0) return errno;
@@ -65,7 +65,7 @@
   return std::filesystem::path(path).parent_path().string();
 }
 
-/// Creates the folder of `path` and its parents, each made durable in its own parent.
+/// Creates `folder` and its parents, each made durable by a sync of its parent. Returns zero or an error number.
 int createFolders(const std::string& folder) {
   if (folder.empty() || std::filesystem::exists(folder)) return 0;
   const std::string parent = parentOf(folder);
--- a/src/process/storage/posix_disk.hpp
+++ b/src/process/storage/posix_disk.hpp
@@ -15,18 +15,18 @@
 
 namespace hatchfork {
 
-/// The machine's file system below one data folder. Reads, writes and `replace` run on the calling thread; syncs run in
-/// order on one background thread, so that a slow disk never stops the control thread.
+/// Disk on the file system of the machine, below one data folder. Reads, writes and `replace` run on the calling
+/// thread; syncs run in order on one background thread, so that a slow disk never blocks the control thread.
 ///
-/// Threading: every function is called on the control thread. Sync callbacks are handed to `post`, which must run them
-/// on the control thread; `post` itself is called from the background thread.
+/// Threading: all functions must be called on the control thread. Sync callbacks are passed to `post`, which must run
+/// them on the control thread; `post` itself is called from the background thread.
 class PosixDisk final : public Disk {
  public:
   using Post = std::function<void(std::function<void()>)>;
 
-  /// `folder` is created when absent.
+  /// `folder` is created if absent.
   PosixDisk(std::string folder, Post post);
-  /// Ends the background thread after the sync it is in; callbacks that were not posted yet are dropped.
+  /// Stops the background thread after the current sync; callbacks that were not posted yet are dropped.
   ~PosixDisk() override;
   PosixDisk(const PosixDisk&) = delete;
   PosixDisk& operator=(const PosixDisk&) = delete;
@@ -38,26 +38,26 @@
   Status append(const std::string& name, std::string_view bytes) override;
   Status truncate(const std::string& name, std::uint64_t size) override;
   Status replace(const std::string& name, std::string_view bytes) override;
-  /// Durable on return. A file that is absent is `kNotFound`.
+  /// Durable on return; `kNotFound` if the file is absent.
   Status remove(const std::string& name) override;
   void sync(const std::string& name, SyncCallback done) override;
 
-  /// Syncs asked for since the start; for metrics.
+  /// Number of syncs requested since the start; for metrics.
   std::uint64_t syncCount() const { return sync_count_; }
 
  private:
   struct SyncJob {
-    /// A duplicate that the job owns; negative where opening failed with `error_number`.
+    /// Duplicated descriptor that the job owns; negative if opening failed with `error_number`.
     int descriptor = -1;
     int error_number = 0;
     std::string name;
-    /// Folder that must be synced too, since the file may be new; empty for none.
+    /// Folder that must be synced too, since the file may be new; empty if not needed.
     std::string folder;
     SyncCallback done;
   };
 
   std::string pathOf(const std::string& name) const;
-  /// The descriptor kept open for appends to `name`, or a negative error number.
+  /// Returns the descriptor that is kept open for appends to `name`, or a negative error number.
   int appendDescriptor(const std::string& name);
   void closeDescriptor(const std::string& name);
   void runSyncs();
@@ -66,7 +66,7 @@
   std::string folder_;
   Post post_;
   std::map<std::string, int> descriptors_;
-  /// Files whose folder this process has synced, so that their names are durable.
+  /// Files whose folder entry this process has made durable, by a sync of the folder.
   std::set<std::string> linked_;
   std::uint64_t sync_count_ = 0;
 
--- a/src/process/storage/record.cpp
+++ b/src/process/storage/record.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kCheckBytes = 4;
-static_assert(kRecordHeaderBytes == kLengthBytes + kCheckBytes + sizeof(std::uint64_t));
+constexpr std::size_t kChecksumBytes = 4;
+static_assert(kRecordHeaderBytes == kLengthBytes + kChecksumBytes + sizeof(std::uint64_t));
 constexpr std::size_t kSectorBytes = 512;
-/// Fewer zeros at the end of a record may be its content.
-constexpr std::size_t kLeastZeroRun = 8;
-/// Seed that sets a length's check apart from that of zeroed space.
+/// Fewer zeros at the end of a record may be part of its content.
+constexpr std::size_t kMinZeroRun = 8;
+/// Seed of the length checksum, so that a header of zeros is not valid.
 constexpr std::uint32_t kLengthSeed = 0x48464b31;
 
 template <class Number>
@@ -32,7 +32,7 @@
   return number;
 }
 
-std::uint32_t lengthCheck(std::string_view length_bytes) {
+std::uint32_t lengthChecksum(std::string_view length_bytes) {
   return XXH32(length_bytes.data(), length_bytes.size(), kLengthSeed);
 }
 
@@ -40,10 +40,11 @@
   return std::all_of(bytes.begin(), bytes.end(), [](char byte) { return byte == 0; });
 }
 
-/// True if the file's last sector, begun after `from`, holds only zeros: its size was written but its data was not.
+/// True if the last sector of the file begins after `from` and holds only zeros: the file size was written, but the
+/// data of that sector was not.
 bool endsInUnwrittenSector(std::string_view bytes, std::size_t from) {
   const std::size_t sector = (bytes.size() - 1) / kSectorBytes * kSectorBytes;
-  return sector > from && bytes.size() - sector >= kLeastZeroRun && onlyZeros(bytes.substr(sector));
+  return sector > from && bytes.size() - sector >= kMinZeroRun && onlyZeros(bytes.substr(sector));
 }
 
 }  // namespace
@@ -52,7 +53,7 @@
   std::string length_bytes;
   appendNumber(length_bytes, static_cast<std::uint32_t>(body.size()));
   out += length_bytes;
-  appendNumber(out, lengthCheck(length_bytes));
+  appendNumber(out, lengthChecksum(length_bytes));
   appendNumber(out, static_cast<std::uint64_t>(XXH3_64bits(body.data(), body.size())));
   out += body;
 }
@@ -64,10 +65,10 @@
 std::optional<RecordHeader> readRecordHeader(std::string_view bytes) {
   if (bytes.size() < kRecordHeaderBytes) return std::nullopt;
   const std::string_view length_bytes = bytes.substr(0, kLengthBytes);
-  const auto check = readNumber<std::uint32_t>(bytes.substr(kLengthBytes, kCheckBytes));
-  if (lengthCheck(length_bytes) != check) return std::nullopt;
+  const auto check = readNumber<std::uint32_t>(bytes.substr(kLengthBytes, kChecksumBytes));
+  if (lengthChecksum(length_bytes) != check) return std::nullopt;
   return RecordHeader{readNumber<std::uint32_t>(length_bytes),
-                      readNumber<std::uint64_t>(bytes.substr(kLengthBytes + kCheckBytes, sizeof(std::uint64_t)))};
+                      readNumber<std::uint64_t>(bytes.substr(kLengthBytes + kChecksumBytes, sizeof(std::uint64_t)))};
 }
 
 void RecordStreamCheck::FreeHash::operator()(XXH3_state_s* state) const {
@@ -122,7 +123,7 @@
     const std::string position = " at byte " + std::to_string(records.whole_bytes);
     const std::optional<RecordHeader> header = readRecordHeader(rest);
     if (!header) {
-      // The header may straddle the sector that was not written.
+      // The header may extend into the sector that was not written.
       records.torn_tail = endsInUnwrittenSector(bytes, records.whole_bytes);
       if (records.torn_tail) return records;
       return storageCorruptError(file, "a record header does not match its checksum" + position);
--- a/src/process/storage/record.hpp
+++ b/src/process/storage/record.hpp
@@ -10,37 +10,37 @@
 
 #include "common/result.hpp"
 
-/// Of the hash library, which its users need not include.
+/// Declared here so that users of this header need not include the hash library.
 struct XXH3_state_s;
 
 namespace hatchfork {
 
-/// Appends one checksummed, length-prefixed record to `out`. Layout, little endian: 4 bytes body length, 4 bytes check
+/// Appends a checksummed, length-prefixed record to `out`. Layout, little endian: 4 bytes body length, 4 bytes checksum
 /// of the length, 8 bytes xxh3 of the body, body.
 void appendRecord(std::string& out, std::string_view body);
 
-/// Bytes before a record's body.
+/// Size of the header before the body of a record.
 constexpr std::size_t kRecordHeaderBytes = 16;
 
-/// What stands before a record's body.
+/// Header before the body of a record.
 struct RecordHeader {
   std::size_t body_bytes = 0;
   std::uint64_t body_check = 0;
 
-  /// True if `body` is the whole body as it was written.
+  /// True if `body` matches the length and the checksum of the header.
   bool matches(std::string_view body) const;
 };
 
-/// Reads the header at the start of `bytes`; absent where they are fewer, or don't match their checksum.
+/// Reads the header at the start of `bytes`; absent if `bytes` is too short or the length checksum does not match.
 std::optional<RecordHeader> readRecordHeader(std::string_view bytes);
 
-/// Checks records that come in pieces of any size, without keeping them.
+/// Verifies a stream of records that arrives in pieces of any size, without buffering the bodies.
 class RecordStreamCheck {
  public:
   RecordStreamCheck();
 
   void take(std::string_view bytes);
-  /// True if all that was taken are whole records, the last of them without a body.
+  /// True if the stream so far consists of complete, intact records, and the last record has an empty body.
   bool endsWithEmptyRecord() const { return !damaged_ && header_.empty() && last_body_bytes_ == std::size_t{0}; }
 
  private:
@@ -48,35 +48,35 @@
     void operator()(XXH3_state_s* state) const;
   };
 
-  /// Each takes what it can use from the front of `bytes`.
+  /// Both functions consume a prefix of `bytes`.
   void takeHeader(std::string_view& bytes);
   void takeBody(std::string_view& bytes);
 
-  /// The header of the record that is being taken, as far as it has come; empty between two records.
+  /// Received part of the current record's header; empty between two records.
   std::string header_;
   RecordHeader record_;
   std::size_t body_left_ = 0;
   std::unique_ptr<XXH3_state_s, FreeHash> hash_;
-  /// Of the last whole record.
+  /// Body size of the last complete record.
   std::optional<std::size_t> last_body_bytes_;
   bool damaged_ = false;
 };
 
-/// The whole records of a file, in order, and where they end.
+/// The complete records of a file, in order.
 struct ScannedRecords {
   std::vector<std::string_view> bodies;
-  /// Bytes up to the end of the last whole record.
+  /// Size of the file up to the end of the last complete record.
   std::uint64_t whole_bytes = 0;
-  /// Bytes follow the last whole record which an interrupted write explains: a cut record, or only zeros.
+  /// True if the last complete record is followed by the remains of an interrupted write: a partial record, or zeros.
   bool torn_tail = false;
 };
 
-/// Reads all records of `bytes`, which must outlive the result. What an interrupted append can leave behind is reported
-/// as a torn tail; anything else that does not match its checksum is `kStorageCorrupt`, also in the last record: it may
-/// have been acknowledged, so it must not be cut silently. `file` names the file in the error.
+/// Reads all records of `bytes`, which must outlive the result. The possible remains of an interrupted append are
+/// reported as a torn tail. Any other checksum mismatch is `kStorageCorrupt`, also in the last record: that record may
+/// have been acknowledged, so it must not be truncated silently. `file` is the file name in the error.
 Result<ScannedRecords> scanRecords(std::string_view bytes, const std::string& file);
 
-/// The error for damaged files, whose remedy is to treat the disk as lost.
+/// Returns the error for a damaged file; the remedy is to treat the disk as lost.
 Error storageCorruptError(const std::string& file, const std::string& what);
 
 }  // namespace hatchfork
--- a/tests/process/storage/posix_disk_test.cpp
+++ b/tests/process/storage/posix_disk_test.cpp
@@ -33,7 +33,7 @@
   return ended.get_future().get();
 }
 
-TEST_CASE("appended, cut and replaced files read back after reopening", "[storage]") {
+TEST_CASE("appended, truncated and replaced files are read back after reopening", "[storage]") {
   TemporaryFolder folder;
   {
     PosixDisk disk(folder.path() + "/data", runAtOnce);
@@ -52,7 +52,7 @@
   CHECK(valueOf(disk.read("group-0/log")) == "onet");
 }
 
-TEST_CASE("absent files are not found, absent folders are empty", "[storage]") {
+TEST_CASE("absent files are reported as not found, absent folders as empty", "[storage]") {
   TemporaryFolder folder;
   PosixDisk disk(folder.path(), runAtOnce);
   CHECK(errorOf(disk.read("group-0/log")).kind == ErrorKind::kNotFound);
@@ -60,7 +60,7 @@
   CHECK(valueOf(disk.list("group-0")).empty());
 }
 
-TEST_CASE("a write that the system refuses is a storage failure with a remedy", "[storage]") {
+TEST_CASE("a failed write is reported as a storage failure with a remedy", "[storage]") {
   TemporaryFolder folder;
   PosixDisk disk(folder.path(), runAtOnce);
   REQUIRE(isOk(disk.append("file", "x")));
--- a/tests/process/storage/record_test.cpp
+++ b/tests/process/storage/record_test.cpp
@@ -23,7 +23,7 @@
   CHECK_FALSE(valueOf(scanned).torn_tail);
 }
 
-TEST_CASE("a file cut anywhere in its last record is a torn tail", "[storage]") {
+TEST_CASE("a file truncated anywhere in its last record has a torn tail", "[storage]") {
   const std::string bytes = threeRecords();
   std::string two;
   appendRecord(two, "first");
@@ -65,7 +65,7 @@
   }
 }
 
-TEST_CASE("no flipped bit passes, and none is taken for a torn tail, also in the last record", "[storage]") {
+TEST_CASE("every flipped bit is reported as corruption and not as a torn tail, also in the last record", "[storage]") {
   const std::string bytes = threeRecords();
   for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
     std::string damaged = bytes;
@@ -77,7 +77,7 @@
   }
 }
 
-TEST_CASE("records that come in pieces are checked like whole ones", "[storage]") {
+TEST_CASE("records that arrive in pieces are verified like whole records", "[storage]") {
   std::string bytes;
   appendRecord(bytes, "first");
   appendRecord(bytes, std::string(1000, 'x'));
