--- a/src/process/memory/memory_budget.hpp
+++ b/src/process/memory/memory_budget.hpp
@@ -9,50 +9,51 @@
 
 namespace hatchfork::memory {
 
-/// What a store holds that grows with its input.
-enum class MemoryHolder : std::uint8_t {
+/// Consumers of memory in a store that grow with its input.
+enum class MemoryConsumer : std::uint8_t {
   /// Bodies, results and progress of jobs.
   kState,
-  /// What a snapshot under way keeps of jobs that change, and the pieces that are being written or taken up.
+  /// Former state of changed jobs for a snapshot in progress, and the pieces that are being written or restored.
   kSnapshot,
-  /// Payloads of the log that are kept in memory.
+  /// Payloads of log entries that are kept in memory.
   kLog,
-  /// Submissions between their arrival and their entry in the log being applied.
+  /// Submissions that have arrived and are not applied yet.
   kRequests,
-  /// Frames that peers have not taken yet.
+  /// Frames that are not sent to their peers yet.
   kOutboxes,
 };
-constexpr std::size_t kHolders = 5;
-std::string_view nameOf(MemoryHolder holder);
+constexpr std::size_t kMemoryConsumers = 5;
+std::string_view nameOf(MemoryConsumer consumer);
 
-/// Divides the memory of a process between what it holds, so that all of it together fits. Each holder tells what it
-/// holds; whoever adds to it asks before. Counted bytes become more in memory (allocator, tables), which the division
-/// allows for. Belongs to one thread; no I/O, no clock.
+/// Divides the memory of a process between its consumers, so that all of them together fit. Each consumer reports its
+/// use, and callers check for room before they add to it. The quotas leave room for the overhead of counted bytes in
+/// memory (allocator, tables). Not thread-safe; no I/O, no clock.
 class MemoryBudget {
  public:
-  /// `limit_mb`: what the process may use, in megabytes.
+  /// `limit_mb`: memory limit of the process, in megabytes.
   explicit MemoryBudget(std::uint32_t limit_mb);
 
-  /// False where the parts would be too small to serve with: `kInvalidArgument`, with the least that is enough.
+  /// Returns `kInvalidArgument`, with the minimum, if the limit is too low to serve with.
   static Status check(std::uint32_t limit_mb);
 
-  /// Counted bytes that the holder may have.
-  std::size_t part(MemoryHolder holder) const { return uses_[index(holder)].part; }
-  std::size_t held(MemoryHolder holder) const { return uses_[index(holder)].held; }
-  bool hasRoom(MemoryHolder holder, std::size_t more) const { return held(holder) + more <= part(holder); }
-  /// Logs one line as the holder reaches its part, and one as it is well below it again.
-  void note(MemoryHolder holder, std::size_t held);
+  /// Maximum number of counted bytes for the consumer.
+  std::size_t quota(MemoryConsumer consumer) const { return uses_[index(consumer)].quota; }
+  std::size_t held(MemoryConsumer consumer) const { return uses_[index(consumer)].held; }
+  bool hasRoom(MemoryConsumer consumer, std::size_t more) const { return held(consumer) + more <= quota(consumer); }
+  /// Records the use of a consumer in bytes. Logs an event when the consumer reaches its limit, and when its use is
+  /// well below the limit again.
+  void note(MemoryConsumer consumer, std::size_t held);
 
  private:
   struct Use {
-    std::size_t part = 0;
+    std::size_t quota = 0;
     std::size_t held = 0;
     bool is_full = false;
   };
 
-  static std::size_t index(MemoryHolder holder) { return static_cast<std::size_t>(holder); }
+  static std::size_t index(MemoryConsumer consumer) { return static_cast<std::size_t>(consumer); }
 
-  std::array<Use, kHolders> uses_;
+  std::array<Use, kMemoryConsumers> uses_;
 };
 
 }  // namespace hatchfork::memory
--- a/src/process/store/job_snapshot.cpp
+++ b/src/process/store/job_snapshot.cpp
@@ -10,25 +10,25 @@
 
 using Json = nlohmann::json;
 
-/// CBOR's marks of maps and lists without a length in front (RFC 8949, section 3.2.2).
-constexpr char kMapBegins = static_cast<char>(0xbf);
-constexpr char kListBegins = static_cast<char>(0x9f);
-constexpr char kEnds = static_cast<char>(0xff);
-/// Small jobs share a piece up to this size.
+/// CBOR initial bytes of maps and lists of indefinite length, and the break byte (RFC 8949, section 3.2.2).
+constexpr char kBeginMap = static_cast<char>(0xbf);
+constexpr char kBeginList = static_cast<char>(0x9f);
+constexpr char kBreak = static_cast<char>(0xff);
+/// Small jobs are combined into pieces of about this size.
 constexpr std::size_t kPieceBytes = 64 * 1024;
 
 void appendCbor(std::string& out, const Json& value) {
   Json::to_cbor(value, out);
 }
 
-/// The field's name, and the mark of a list that is filled item by item.
-void beginOpenList(std::string& out, std::string_view name) {
+/// Appends the name of a field and the start of a list of indefinite length.
+void beginListField(std::string& out, std::string_view name) {
   appendCbor(out, Json(name));
-  out += kListBegins;
+  out += kBeginList;
 }
 
-/// All fields of a submission but its items.
-void appendFieldsBesideItems(std::string& out, const JobSubmission& submission) {
+/// Appends all fields of a submission except the items.
+void appendFieldsExceptItems(std::string& out, const JobSubmission& submission) {
   JobSubmission head;
   head.id = submission.id;
   head.tenant = submission.tenant;
@@ -43,7 +43,7 @@
   }
 }
 
-const OpaqueItem& itemOf(const StoredJob& job, const JobBefore* before, std::size_t position) {
+const OpaqueItem& itemOf(const StoredJob& job, const JobPreImage* before, std::size_t position) {
   if (before != nullptr) {
     const auto listed = before->listed.find(position);
     if (listed != before->listed.end()) return listed->second;
@@ -51,8 +51,8 @@
   return job.submission.items[position];
 }
 
-/// Null where the item had no progress.
-const ItemRunProgress* progressOf(const StoredJob& job, const JobBefore* before, std::size_t position) {
+/// Returns null if the item had no progress.
+const ItemRunProgress* progressOf(const StoredJob& job, const JobPreImage* before, std::size_t position) {
   if (before != nullptr) {
     const auto kept = before->progress.find(position);
     if (kept != before->progress.end()) return kept->second ? &*kept->second : nullptr;
@@ -61,7 +61,7 @@
   return held == job.progress.end() ? nullptr : &held->second;
 }
 
-// As the fields are named where these types are defined.
+// The field names below must match the serialization macros of these types.
 
 void appendItem(std::string& out, const OpaqueItem& item) {
   cbor::beginMap(out, 5);
@@ -86,7 +86,7 @@
   cbor::appendField(out, "text", result.text);
 }
 
-/// As `ItemProgress`, which follows on nothing here.
+/// Appends the progress in the format of `ItemProgress`, with no preceding event.
 void appendProgress(std::string& out, const JobId& job, const std::string& item, const ItemRunProgress& progress) {
   cbor::beginMap(out, 9);
   cbor::appendField(out, "job", job.value);
@@ -110,82 +110,82 @@
 
 std::string_view snapshotHead() {
   static const std::string head = [] {
-    std::string bytes(1, kMapBegins);
-    beginOpenList(bytes, "jobs");
+    std::string bytes(1, kBeginMap);
+    beginListField(bytes, "jobs");
     return bytes;
   }();
   return head;
 }
 
 std::string encodeTail(const SnapshotTail& tail) {
-  std::string bytes(1, kEnds);
+  std::string bytes(1, kBreak);
   const Json fields = tail;
   for (const auto& [name, value] : fields.items()) {
     appendCbor(bytes, Json(name));
     appendCbor(bytes, value);
   }
-  bytes += kEnds;
+  bytes += kBreak;
   return bytes;
 }
 
 bool isTail(std::string_view piece) {
-  return piece.starts_with(kEnds);
+  return piece.starts_with(kBreak);
 }
 
 Result<SnapshotTail> decodeTail(std::string_view piece) {
-  return decodeStruct<SnapshotTail>(std::string(1, kMapBegins).append(piece.substr(1)));
+  return decodeStruct<SnapshotTail>(std::string(1, kBeginMap).append(piece.substr(1)));
 }
 
 Result<std::vector<JobSnapshot>> decodeJobs(std::string_view piece) {
   std::string list;
   list.reserve(piece.size() + 2);
-  list += kListBegins;
+  list += kBeginList;
   list += piece;
-  list += kEnds;
+  list += kBreak;
   return decodeStruct<std::vector<JobSnapshot>>(list);
 }
 
-void appendJob(std::string& piece, const StoredJob& job, const JobBefore* before) {
+void appendJob(std::string& piece, const StoredJob& job, const JobPreImage* before) {
   const JobSubmission& submission = job.submission;
   const std::size_t results = before == nullptr ? job.results.size() : before->results;
-  piece += kMapBegins;
+  piece += kBeginMap;
   appendCbor(piece, Json("ended"));
   appendCbor(piece, Json(before == nullptr ? job.ended : before->ended));
-  beginOpenList(piece, "progress");
+  beginListField(piece, "progress");
   for (std::size_t position = 0; position < submission.items.size(); ++position) {
     const ItemRunProgress* progress = progressOf(job, before, position);
     if (progress != nullptr) appendProgress(piece, submission.id, submission.items[position].id, *progress);
   }
-  piece += kEnds;
-  beginOpenList(piece, "results");
+  piece += kBreak;
+  beginListField(piece, "results");
   for (std::size_t position = 0; position < results; ++position) appendResult(piece, job.results[position]);
-  piece += kEnds;
+  piece += kBreak;
   appendCbor(piece, Json("submission"));
-  piece += kMapBegins;
-  appendFieldsBesideItems(piece, submission);
-  beginOpenList(piece, "items");
+  piece += kBeginMap;
+  appendFieldsExceptItems(piece, submission);
+  beginListField(piece, "items");
   for (std::size_t position = 0; position < submission.items.size(); ++position) {
     appendItem(piece, itemOf(job, before, position));
   }
-  piece += kEnds;
-  piece += kEnds;
-  piece += kEnds;
+  piece += kBreak;
+  piece += kBreak;
+  piece += kBreak;
 }
 
-JobSnapshotCut::JobSnapshotCut(const std::map<JobId, StoredJob>& jobs, const SnapshotTail& tail)
+JobSnapshotWriter::JobSnapshotWriter(const std::map<JobId, StoredJob>& jobs, const SnapshotTail& tail)
     : tail_(encodeTail(tail)) {
   for (const auto& [id, job] : jobs) {
-    JobBefore before;
+    JobPreImage before;
     before.results = job.results.size();
     before.ended = job.ended;
     pending_.emplace_hint(pending_.end(), id, std::move(before));
   }
 }
 
-std::optional<std::string> JobSnapshotCut::nextPiece(const std::map<JobId, StoredJob>& jobs) {
-  if (!std::exchange(head_given_, true)) return std::string(snapshotHead());
+std::optional<std::string> JobSnapshotWriter::nextPiece(const std::map<JobId, StoredJob>& jobs) {
+  if (!std::exchange(head_written_, true)) return std::string(snapshotHead());
   if (pending_.empty()) {
-    if (std::exchange(tail_given_, true)) return std::nullopt;
+    if (std::exchange(tail_written_, true)) return std::nullopt;
     return tail_;
   }
   std::string piece;
@@ -193,10 +193,10 @@
   return piece;
 }
 
-void JobSnapshotCut::appendNext(std::string& piece, const std::map<JobId, StoredJob>& jobs) {
+void JobSnapshotWriter::appendNext(std::string& piece, const std::map<JobId, StoredJob>& jobs) {
   const JobId id = changed_.empty() ? pending_.begin()->first : *changed_.begin();
   const auto next = pending_.find(id);
-  const JobBefore& before = next->second;
+  const JobPreImage& before = next->second;
   appendJob(piece, before.dropped ? *before.dropped : jobs.at(id), &before);
   for (const auto& [position, item] : before.listed) bytes_held_ -= item.body.size();
   for (const auto& [position, progress] : before.progress) bytes_held_ -= textBytes(progress);
@@ -205,24 +205,24 @@
   pending_.erase(next);
 }
 
-JobBefore* JobSnapshotCut::changing(const JobId& job) {
+JobPreImage* JobSnapshotWriter::preImageOf(const JobId& job) {
   const auto found = pending_.find(job);
   if (found == pending_.end() || found->second.dropped) return nullptr;
   changed_.insert(job);
   return &found->second;
 }
 
-void JobSnapshotCut::beforeListing(const StoredJob& job, std::size_t position, OpaqueItem& item) {
+void JobSnapshotWriter::beforeListing(const StoredJob& job, std::size_t position, OpaqueItem& item) {
   beforeProgress(job, position);
-  JobBefore* before = changing(job.submission.id);
+  JobPreImage* before = preImageOf(job.submission.id);
   if (before == nullptr) return;
   OpaqueItem kept{item.id, item.target, std::move(item.headers), std::move(item.body), item.tokens};
   bytes_held_ += kept.body.size();
   before->listed.emplace(position, std::move(kept));
 }
 
-void JobSnapshotCut::beforeProgress(const StoredJob& job, std::size_t position) {
-  JobBefore* before = changing(job.submission.id);
+void JobSnapshotWriter::beforeProgress(const StoredJob& job, std::size_t position) {
+  JobPreImage* before = preImageOf(job.submission.id);
   if (before == nullptr || before->progress.contains(position)) return;
   std::optional<ItemRunProgress> kept;
   const auto held = job.progress.find(job.submission.items[position].id);
@@ -231,8 +231,8 @@
   before->progress.emplace(position, std::move(kept));
 }
 
-void JobSnapshotCut::beforeDrop(StoredJob& job) {
-  JobBefore* before = changing(job.submission.id);
+void JobSnapshotWriter::beforeDrop(StoredJob& job) {
+  JobPreImage* before = preImageOf(job.submission.id);
   if (before == nullptr) return;
   bytes_held_ += job.textBytes();
   before->dropped = std::move(job);
--- a/src/process/store/job_snapshot.hpp
+++ b/src/process/store/job_snapshot.hpp
@@ -13,12 +13,12 @@
 #include "common/result.hpp"
 #include "process/store/stored_job.hpp"
 
-/// The snapshot of a store group. As a whole it is one CBOR map with the fields `jobs`, `refused_attempts` and
-/// `crashes`; map and list of jobs have no length in front, so that the map can be cut into pieces: its head, any
-/// number of pieces of whole jobs, and its tail.
+/// Snapshot of a store group: one CBOR map with the fields `jobs`, `refused_attempts` and `crashes`. The map and the
+/// list of jobs have indefinite length, so that the map can be split into pieces: the head, any number of pieces with
+/// whole jobs, and the tail.
 namespace hatchfork::store {
 
-/// A job as it travels in snapshots.
+/// A job as encoded in snapshots.
 struct JobSnapshot {
   JobSubmission submission;
   std::vector<ItemResult> results;
@@ -27,15 +27,15 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(JobSnapshot, submission, results, progress, ended)
 
-/// What a snapshot holds beside the jobs.
+/// Content of a snapshot besides the jobs.
 struct SnapshotTail {
   std::vector<std::uint64_t> refused_attempts;
   std::vector<KeptCrash> crashes;
 };
-/// Snapshots of older programs have no refusals and no crashes.
+/// Snapshots of older releases have no refused attempts and no crashes.
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(SnapshotTail, refused_attempts, crashes)
 
-/// The first piece of each snapshot in pieces.
+/// The first piece of each split snapshot.
 std::string_view snapshotHead();
 std::string encodeTail(const SnapshotTail& tail);
 bool isTail(std::string_view piece);
@@ -43,52 +43,53 @@
 Result<SnapshotTail> decodeTail(std::string_view piece);
 Result<std::vector<JobSnapshot>> decodeJobs(std::string_view piece);
 
-/// A job as it was when a snapshot began, as far as it has changed since.
-struct JobBefore {
-  /// Results are only added, so their number tells which there were.
+/// State of a job at the start of a snapshot, limited to the parts that have changed since (copy on write).
+struct JobPreImage {
+  /// Number of results at the start of the snapshot; results are only appended.
   std::size_t results = 0;
   bool ended = false;
-  /// Items that were listed since, by their position: their bodies are gone from the job.
+  /// Items listed since, by position; listing releases the bodies of the items in the job.
   std::unordered_map<std::size_t, OpaqueItem> listed;
-  /// Progress of items whose progress has changed since; absent for none.
+  /// Former progress of items whose progress has changed since, by position; absent if an item had no progress.
   std::unordered_map<std::size_t, std::optional<ItemRunProgress>> progress;
-  /// The job, where it was dropped since.
+  /// The whole job, if dropped since.
   std::optional<StoredJob> dropped;
 };
 
-/// Appends a job as it is, or as it was before.
-void appendJob(std::string& piece, const StoredJob& job, const JobBefore* before);
+/// Appends a job in the present state, or in the state of `before` if not null.
+void appendJob(std::string& piece, const StoredJob& job, const JobPreImage* before);
 
-/// Hands out the jobs as they were when it was made, while they change. Whoever changes a job tells it just before. It
-/// keeps only what a change takes away, and hands out changed jobs first.
-class JobSnapshotCut {
+/// Writes a consistent snapshot of the jobs at the time of construction, piece by piece, while the jobs change. The
+/// owner of the jobs calls a `before...` function before each change. The writer keeps only the data that a change
+/// replaces, and writes changed jobs first to release that data early.
+class JobSnapshotWriter {
  public:
-  JobSnapshotCut(const std::map<JobId, StoredJob>& jobs, const SnapshotTail& tail);
+  JobSnapshotWriter(const std::map<JobId, StoredJob>& jobs, const SnapshotTail& tail);
 
-  /// The next piece; absent after the last one.
+  /// Returns the next piece; absent after the last piece.
   std::optional<std::string> nextPiece(const std::map<JobId, StoredJob>& jobs);
-  /// Bytes of bodies and texts that are kept for it alone.
+  /// Bytes of bodies and texts that are kept for the snapshot alone.
   std::size_t bytesHeld() const { return bytes_held_; }
 
-  /// The item's body and headers are about to be given up; they are taken from it.
+  /// To be called before an item is listed; moves the body and the headers out of the item.
   void beforeListing(const StoredJob& job, std::size_t position, OpaqueItem& item);
   void beforeProgress(const StoredJob& job, std::size_t position);
-  /// The job is about to be forgotten; it is taken.
+  /// To be called before a job is dropped; moves the job.
   void beforeDrop(StoredJob& job);
 
  private:
-  /// Null for a job that was handed out, is new, or was dropped.
-  JobBefore* changing(const JobId& job);
+  /// Returns null for a job that was written already, is new, or was dropped.
+  JobPreImage* preImageOf(const JobId& job);
   void appendNext(std::string& piece, const std::map<JobId, StoredJob>& jobs);
 
-  /// Jobs that are to be handed out.
-  std::map<JobId, JobBefore> pending_;
-  /// Those of them that have changed.
+  /// Jobs that are not written yet.
+  std::map<JobId, JobPreImage> pending_;
+  /// Jobs in `pending_` that have changed.
   std::set<JobId> changed_;
   std::string tail_;
   std::size_t bytes_held_ = 0;
-  bool head_given_ = false;
-  bool tail_given_ = false;
+  bool head_written_ = false;
+  bool tail_written_ = false;
 };
 
 }  // namespace hatchfork::store
--- a/src/process/store/job_state.cpp
+++ b/src/process/store/job_state.cpp
@@ -9,16 +9,16 @@
 namespace hatchfork::store {
 namespace {
 
-/// A whole snapshot.
+/// Snapshot that is decoded as a whole.
 struct StateSnapshot {
   std::vector<JobSnapshot> jobs;
   std::vector<std::uint64_t> refused_attempts;
   std::vector<KeptCrash> crashes;
 };
-/// Snapshots of older programs have no refusals and no crashes.
+/// Snapshots of older releases have no refused attempts and no crashes.
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(StateSnapshot, jobs, refused_attempts, crashes)
 
-/// True if it counts a failure that was not counted before.
+/// Returns true if `entry` adds a failure that was not counted before.
 bool noteFailures(ItemRunProgress& progress, const ItemProgress& entry) {
   std::uint32_t failures = progress.failures;
   for (const std::uint64_t run : entry.failed_runs) {
@@ -28,12 +28,12 @@
   return std::exchange(progress.failures, failures) != failures;
 }
 
-/// What an item takes beside its body or text: identifiers, headers, entries of tables.
+/// Estimated memory of an item besides its body or text: identifiers, headers, table entries.
 constexpr std::uint64_t kOpenItemBytes = 1000;
 constexpr std::uint64_t kListedItemBytes = 350;
 
-/// Copies of a refused try come within seconds of it.
-constexpr std::size_t kMostRefusalsRemembered = 2000;
+/// Copies of a refused attempt arrive within seconds, so that only recent refusals are needed.
+constexpr std::size_t kMaxRememberedRefusals = 2000;
 
 std::string_view nameOf(bool changed) {
   return changed ? kApplyChanged : kApplyUnchanged;
@@ -74,7 +74,7 @@
 void JobState::rememberRefusal(std::uint64_t attempt) {
   if (attempt == 0) return;
   refused_attempts_.push_back(attempt);
-  if (refused_attempts_.size() > kMostRefusalsRemembered) refused_attempts_.pop_front();
+  if (refused_attempts_.size() > kMaxRememberedRefusals) refused_attempts_.pop_front();
 }
 
 std::uint64_t JobState::waitingTokens(const WaitingLimit& limit) const {
@@ -166,7 +166,7 @@
   }
   OpaqueItem& item = job.submission.items[open->second];
   held_bytes_ -= item.body.size();
-  if (cut_) cut_->beforeListing(job, open->second, item);
+  if (snapshot_writer_) snapshot_writer_->beforeListing(job, open->second, item);
   if (progress != job.progress.end()) held_bytes_ -= progress->second.text.size();
   held_bytes_ += result.text.size();
   releaseMemory(item.body);
@@ -194,7 +194,7 @@
     if (job == jobs_.end()) continue;
     const auto open = job->second.open_items.find(entry.item);
     if (open == job->second.open_items.end()) continue;
-    if (cut_) cut_->beforeProgress(job->second, open->second);
+    if (snapshot_writer_) snapshot_writer_->beforeProgress(job->second, open->second);
     ItemRunProgress& progress = job->second.progress[entry.item];
     saved = noteFailures(progress, entry) || saved;
     const bool follows = progress.last_event == entry.after_event && progress.chain == entry.after_chain;
@@ -227,7 +227,7 @@
     open_items_ -= job->second.open_items.size();
     listed_items_ -= job->second.results.size();
     for (const ItemResult& result : job->second.results) listed_bytes_ -= result.text.size();
-    if (cut_) cut_->beforeDrop(job->second);
+    if (snapshot_writer_) snapshot_writer_->beforeDrop(job->second);
     jobs_.erase(job);
     changed(id);
     dropped = true;
@@ -268,13 +268,13 @@
 }
 
 void JobState::beginSnapshot() {
-  cut_.emplace(jobs_, tail());
+  snapshot_writer_.emplace(jobs_, tail());
 }
 
 std::optional<std::string> JobState::nextSnapshotPiece() {
-  if (!cut_) return std::nullopt;
-  std::optional<std::string> piece = cut_->nextPiece(jobs_);
-  if (!piece) cut_.reset();
+  if (!snapshot_writer_) return std::nullopt;
+  std::optional<std::string> piece = snapshot_writer_->nextPiece(jobs_);
+  if (!piece) snapshot_writer_.reset();
   return piece;
 }
 
@@ -283,13 +283,13 @@
   if (!isOk(decoded)) return errorOf(decoded);
   StateSnapshot& whole = valueOf(decoded);
   clear();
-  takeUp(SnapshotTail{std::move(whole.refused_attempts), std::move(whole.crashes)});
-  for (JobSnapshot& entry : whole.jobs) takeUp(std::move(entry));
+  restoreTail(SnapshotTail{std::move(whole.refused_attempts), std::move(whole.crashes)});
+  for (JobSnapshot& entry : whole.jobs) restoreJob(std::move(entry));
   return okStatus();
 }
 
 void JobState::clear() {
-  cut_.reset();
+  snapshot_writer_.reset();
   jobs_.clear();
   held_bytes_ = 0;
   open_items_ = 0;
@@ -299,13 +299,13 @@
   kept_crashes_ = {};
 }
 
-void JobState::takeUp(const SnapshotTail& tail) {
+void JobState::restoreTail(const SnapshotTail& tail) {
   refused_attempts_.assign(tail.refused_attempts.begin(), tail.refused_attempts.end());
   kept_crashes_ = {};
   kept_crashes_.add(tail.crashes);
 }
 
-void JobState::takeUp(JobSnapshot entry) {
+void JobState::restoreJob(JobSnapshot entry) {
   const JobId id = entry.submission.id;
   addJob(std::move(entry.submission));
   StoredJob& job = jobs_.at(id);
@@ -331,42 +331,43 @@
 
 void JobState::beginRestore() {
   clear();
-  releaseMemory(uncut_);
-  restoring_in_pieces_ = false;
-  tail_taken_up_ = false;
+  releaseMemory(unsplit_snapshot_);
+  is_split_snapshot_ = false;
+  tail_restored_ = false;
 }
 
 Status JobState::restorePiece(std::string piece) {
-  const bool is_first = !restoring_in_pieces_ && uncut_.empty();
+  const bool is_first = !is_split_snapshot_ && unsplit_snapshot_.empty();
   if (is_first && piece == snapshotHead()) {
-    restoring_in_pieces_ = true;
+    is_split_snapshot_ = true;
     return okStatus();
   }
-  if (!restoring_in_pieces_) {
-    uncut_ += piece;
+  if (!is_split_snapshot_) {
+    unsplit_snapshot_ += piece;
     return okStatus();
   }
   if (isTail(piece)) {
     const Result<SnapshotTail> tail = decodeTail(piece);
     if (!isOk(tail)) return errorOf(tail);
-    takeUp(valueOf(tail));
-    tail_taken_up_ = true;
+    restoreTail(valueOf(tail));
+    tail_restored_ = true;
     return okStatus();
   }
   Result<std::vector<JobSnapshot>> jobs = decodeJobs(piece);
   if (!isOk(jobs)) return errorOf(jobs);
   releaseMemory(piece);
-  for (JobSnapshot& entry : valueOf(jobs)) takeUp(std::move(entry));
+  for (JobSnapshot& entry : valueOf(jobs)) restoreJob(std::move(entry));
   return okStatus();
 }
 
 Status JobState::endRestore() {
-  if (restoring_in_pieces_) return tail_taken_up_ ? okStatus() : Status(protocolError("the snapshot has no tail"));
-  const std::string whole = std::exchange(uncut_, {});
+  if (is_split_snapshot_)
+    return tail_restored_ ? okStatus() : Status(protocolError("snapshot truncated: the tail piece is missing"));
+  const std::string whole = std::exchange(unsplit_snapshot_, {});
   return restore(whole);
 }
 
-ResultsReply resultsFrom(const StoredJob& job, std::uint64_t from, std::size_t most_bytes) {
+ResultsReply resultsFrom(const StoredJob& job, std::uint64_t from, std::size_t max_bytes) {
   ResultsReply reply;
   reply.total = job.submission.items.size();
   reply.next = from;
@@ -374,7 +375,7 @@
   while (reply.next < job.results.size()) {
     const ItemResult& result = job.results[reply.next];
     bytes += result.text.size() + result.id.size();
-    if (!reply.results.empty() && bytes > most_bytes) break;
+    if (!reply.results.empty() && bytes > max_bytes) break;
     reply.results.push_back(result);
     ++reply.next;
   }
--- a/src/process/store/job_state.hpp
+++ b/src/process/store/job_state.hpp
@@ -18,11 +18,11 @@
 
 namespace hatchfork::store {
 
-/// Replicated state of a store group: jobs, their items and their lists of results. An item enters the list once, at a
-/// position that never changes. Threading: control thread only.
+/// Replicated state of a store group: jobs, their items and their lists of results. The result of an item is listed
+/// once, at a position that never changes. Threading: control thread only.
 class JobState final : public consensus::StateMachine {
  public:
-  /// What has changed since the last call; for the executor and for held reads.
+  /// Called for each job that has changed, to notify the executor and the pending reads.
   using ChangeHandler = std::function<void(const JobId& job)>;
 
   explicit JobState(ChangeHandler on_change = nullptr) : on_change_(std::move(on_change)) {}
@@ -32,30 +32,30 @@
   Status restore(std::string_view bytes) override;
   void beginSnapshot() override;
   std::optional<std::string> nextSnapshotPiece() override;
-  void abandonSnapshot() override { cut_.reset(); }
-  std::size_t snapshotBytesHeld() const override { return cut_ ? cut_->bytesHeld() : 0; }
+  void abandonSnapshot() override { snapshot_writer_.reset(); }
+  std::size_t snapshotBytesHeld() const override { return snapshot_writer_ ? snapshot_writer_->bytesHeld() : 0; }
   void beginRestore() override;
   Status restorePiece(std::string piece) override;
   Status endRestore() override;
 
   const std::map<JobId, StoredJob>& jobs() const { return jobs_; }
-  /// Null for an unknown job.
+  /// Returns null for an unknown job.
   const StoredJob* find(const JobId& job) const;
-  /// Whether a failure of an open item in that run is counted.
+  /// True if the failure of the open item in that run has been counted.
   bool isFailureCounted(const JobId& job, const std::string& item, std::uint64_t run) const;
-  /// Tokens of the open items of the tenant's jobs on the limit's route that are not ended.
+  /// Tokens of open items in the jobs of the limit's tenant and route that have not ended.
   std::uint64_t waitingTokens(const WaitingLimit& limit) const;
-  /// Tokens of all open items.
+  /// Tokens of open items in all jobs that have not ended.
   std::uint64_t waitingTokens() const;
-  /// Tokens of all items that were listed here so far; only grows.
+  /// Tokens of all items that this replica has listed so far; never decreases.
   std::uint64_t listedTokens() const { return listed_tokens_; }
-  /// Ends of engines under requests that are refused for them.
+  /// Engine crashes that the group keeps, with the content of the request that ran.
   const KeptCrashes& keptCrashes() const { return kept_crashes_; }
-  /// Bytes of bodies and texts that are held.
+  /// Bytes of item bodies, results and progress in memory.
   std::uint64_t heldBytes() const { return held_bytes_; }
-  /// What the state takes in memory, with headers and tables, by the number of its items.
+  /// Estimated memory of the state in bytes, including headers and tables, from the number of items.
   std::uint64_t memoryBytes() const;
-  /// What it will take once the open items have results of the size that results have here.
+  /// Estimated memory in bytes once all open items have results of the present mean size.
   std::uint64_t expectedBytes() const;
 
  private:
@@ -69,43 +69,44 @@
   bool applyOne(const DropJobs& command);
   bool applyOne(const KeepCrashes& command);
   void addJob(JobSubmission submission);
-  /// An open item has become a listed one.
+  /// Updates the counters when the result of an open item is listed.
   void noteListed(const ItemResult& result);
   SnapshotTail tail() const;
   void clear();
-  void takeUp(JobSnapshot entry);
-  void takeUp(const SnapshotTail& tail);
+  void restoreJob(JobSnapshot entry);
+  void restoreTail(const SnapshotTail& tail);
   void changed(const JobId& job) const;
 
   ChangeHandler on_change_;
   std::map<JobId, StoredJob> jobs_;
-  /// Tries that were refused, the newest last.
+  /// Attempts that were refused, the newest last.
   std::deque<std::uint64_t> refused_attempts_;
   KeptCrashes kept_crashes_;
   std::uint64_t held_bytes_ = 0;
   std::uint64_t listed_tokens_ = 0;
-  /// Items of the jobs that are kept: open ones, and listed ones with the bytes of their texts.
+  /// Number of open and of listed items in all stored jobs, and the bytes of the listed results.
   std::uint64_t open_items_ = 0;
   std::uint64_t listed_items_ = 0;
   std::uint64_t listed_bytes_ = 0;
-  /// The snapshot under way.
-  std::optional<JobSnapshotCut> cut_;
-  /// What has come of a snapshot that is being taken up, where it is not in pieces of whole jobs: an older program's.
-  std::string uncut_;
-  bool restoring_in_pieces_ = false;
-  bool tail_taken_up_ = false;
+  /// The snapshot in progress.
+  std::optional<JobSnapshotWriter> snapshot_writer_;
+  /// Received part of a snapshot that is not split into pieces of whole jobs, as older releases send.
+  std::string unsplit_snapshot_;
+  bool is_split_snapshot_ = false;
+  bool tail_restored_ = false;
 };
 
-/// Events whose data a text joins by line feeds.
+/// Returns the number of events in a text that joins their data by line feeds.
 std::uint64_t eventsIn(std::string_view text);
 
-/// Bytes of the bodies of all items of a job.
+/// Returns the bytes of the bodies of all items of a job.
 std::size_t bodyBytesOf(const JobSubmission& job);
 
-/// Tokens of all items of a job.
+/// Returns the tokens of all items of a job.
 std::uint64_t tokensOf(const JobSubmission& job);
 
-/// The results of a job from a position on, at most about `most_bytes` of text but at least one where there is one.
-ResultsReply resultsFrom(const StoredJob& job, std::uint64_t from, std::size_t most_bytes);
+/// Returns the results of a job from a position on, limited to about `max_bytes` of text; at least one result if there
+/// is any.
+ResultsReply resultsFrom(const StoredJob& job, std::uint64_t from, std::size_t max_bytes);
 
 }  // namespace hatchfork::store
--- a/src/process/store/load_aggregator.cpp
+++ b/src/process/store/load_aggregator.cpp
@@ -10,15 +10,15 @@
 namespace hatchfork::store {
 namespace {
 
-/// Least time between digests: one goes out at each tick of the store, 50 ms apart.
+/// Minimum interval between digests; less than the 50 ms between ticks of the store, so that each tick sends a digest.
 constexpr Duration kDigestInterval = fromMillis(40);
-/// Time between totals: they cross zones, and go to each aggregator.
+/// Interval between totals, which cross zones and go to each aggregator.
 constexpr Duration kTotalsInterval = fromMillis(90);
-/// A digest that tells nothing is sent only this often, as a sign of life.
-constexpr Duration kEmptyInterval = fromMillis(400);
-/// Most entries of one digest: 6 KB a second for a receiver.
-constexpr std::size_t kMostEntries = 43;
-/// A process that has reported nothing for this long gets no digests any more.
+/// Interval of digests without changes, which serve as heartbeats.
+constexpr Duration kEmptyDigestInterval = fromMillis(400);
+/// Maximum number of entries in a digest, which limits the traffic to a receiver to 6 KB per second.
+constexpr std::size_t kMaxDigestEntries = 43;
+/// A process that has not reported for this long receives no more digests.
 constexpr Duration kReceiverLifetime = std::chrono::seconds(2);
 
 }  // namespace
@@ -44,7 +44,7 @@
   not_placed_.report(now, report.node, std::move(shares));
   if (report.kind == fleet::LoadKind::kBackground) background_.report(now, report.node, report.shares);
   Receiver& receiver = receivers_[report.node];
-  receiver.heard_at = now;
+  receiver.last_report_at = now;
   if (receiver.link.connection == from.connection) return;
   receiver.link = std::move(from);
   receiver.link.send(frameOf(digest_.all(), /*is_whole=*/true));
@@ -78,7 +78,7 @@
   all_.expire(now);
   not_placed_.expire(now);
   background_.expire(now);
-  std::erase_if(receivers_, [now](const auto& entry) { return now > entry.second.heard_at + kReceiverLifetime; });
+  std::erase_if(receivers_, [now](const auto& entry) { return now > entry.second.last_report_at + kReceiverLifetime; });
 }
 
 void LoadAggregator::sendTotals(Instant now) {
@@ -91,9 +91,9 @@
 }
 
 void LoadAggregator::sendDigest(Instant now) {
-  std::string digest = digest_.changes(all_.totals(), kMostEntries);
-  if (digest.empty() && now < told_at_ + kEmptyInterval) return;
-  told_at_ = now;
+  std::string digest = digest_.changes(all_.totals(), kMaxDigestEntries);
+  if (digest.empty() && now < last_digest_at_ + kEmptyDigestInterval) return;
+  last_digest_at_ = now;
   const std::string frame = frameOf(std::move(digest), /*is_whole=*/false);
   for (const auto& [node, receiver] : receivers_) receiver.link.send(frame);
 }
--- a/src/process/store/load_aggregator.hpp
+++ b/src/process/store/load_aggregator.hpp
@@ -12,44 +12,44 @@
 
 namespace hatchfork::store {
 
-/// How a process that reports here is reached.
+/// Connection to a process that reports its load to this store.
 struct LoadReceiver {
-  /// Identity of the connection: another one has heard nothing yet.
+  /// Identity of the connection; a new connection starts with a complete digest.
   const void* connection = nullptr;
   std::function<void(const std::string& frame)> send;
 };
 
-/// Adds up what the processes that report to this store have in flight, exchanges the totals with the aggregators of
-/// all zones, and tells the sum to those that report here. Every store can be one; most are not, since nobody reports
-/// to them. Independent of who leads the stores.
+/// Sums the in-flight load of the processes that report to this store, exchanges the totals with the aggregators of all
+/// zones, and sends the sum to the reporting processes. Every store can act as aggregator; most do not, since no
+/// process reports to them. Independent of the leadership of the store group.
 ///
-/// Cost: reports and totals cost their own size, not what engines there are; a digest is encoded once for all receivers
-/// and holds what has changed, up to a most, so that a receiver's bytes a second do not grow with the fleet: where more
-/// changes, each engine is told less often. No I/O, no clock. Belongs to one thread.
+/// Cost: proportional to the size of reports and totals, not to the number of engines. A digest is encoded once for all
+/// receivers and holds a bounded number of changes, so that the bytes per second of a receiver do not grow with the
+/// fleet; with more changes, each engine is reported less often. No I/O, no clock. Not thread-safe.
 class LoadAggregator {
  public:
   using SendFunction = std::function<void(const ReplicaId& to, const fleet::LoadTotalsFrame& totals)>;
 
-  /// `engines`: those of the fleet, kept up to date by the owner of both.
+  /// `engines`: the engines of the fleet; must outlive the aggregator, and is kept up to date by the owner.
   LoadAggregator(ReplicaId self, const request::EngineKeys& engines, SendFunction send)
       : self_(std::move(self)), engines_(engines), send_(std::move(send)) {}
 
   void setStores(const std::vector<fleet::StoreAddress>& stores);
   void take(Instant now, const fleet::LoadReportFrame& report, LoadReceiver from);
   void take(Instant now, const fleet::LoadTotalsFrame& totals);
-  /// Sends what is due; call many times a second.
+  /// Sends the totals and digests that are due; to be called many times a second.
   void tick(Instant now);
 
-  /// Online requests that were not placed by this store, and which engines any process avoids.
+  /// Returns the load of online requests that were not placed by this store, and the engines that any process avoids.
   std::vector<request::EngineShare> notPlacedHere() const { return not_placed_.totals(); }
-  /// The aggregators of all zones, this store left out.
+  /// The aggregators of all zones, without this store.
   const std::vector<ReplicaId>& peers() const { return peers_; }
   std::size_t receivers() const { return receivers_.size(); }
 
  private:
   struct Receiver {
     LoadReceiver link;
-    Instant heard_at{};
+    Instant last_report_at{};
   };
 
   void expire(Instant now);
@@ -60,20 +60,19 @@
   ReplicaId self_;
   const request::EngineKeys& engines_;
   SendFunction send_;
-  /// The aggregators of all zones, this store left out.
   std::vector<ReplicaId> peers_;
   std::map<std::string, Receiver> receivers_;
-  /// What is reported here, and the same together with the totals of the other aggregators.
+  /// Load reported to this store, and the same together with the totals of the other aggregators.
   request::LoadBoard local_;
   request::LoadBoard all_;
   request::LoadBoard not_placed_;
-  /// Of what is reported here, the batch runs.
+  /// Load of batch runs reported to this store.
   request::LoadBoard background_;
   request::LoadDigestWriter digest_;
   Instant next_digest_{};
   Instant next_totals_{};
-  /// When the last digest went out, an empty one included.
-  Instant told_at_{};
+  /// Time at which the last digest was sent, including empty digests.
+  Instant last_digest_at_{};
 };
 
 }  // namespace hatchfork::store
--- a/src/process/store/placement_service.cpp
+++ b/src/process/store/placement_service.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Gateways repeat all that they have every second.
+/// Gateways repeat the full list of their requests every second.
 constexpr Duration kGatewayLifetime = fromMillis(2500);
-/// Notes that an answer has begun come with a delay that is no silence of the engine.
+/// Delay of the notes that an answer has begun; added to the allowed silence of an engine.
 constexpr Duration kNoteDelay = fromMillis(40);
 
-/// The load of other zones' engines is known late, so one that looks nearly full costs more than a short wait for a
-/// slot of the own zone.
+/// The load of engines in other zones is reported late, so sending to a nearly full engine there costs more than a
+/// short wait for a slot in the own zone.
 constexpr double kFullRiskMs = 200;
 
 request::SelectorLimits limitsOfPlacement(ZoneId zone, const request::LoadFeatures& features) {
@@ -41,26 +41,26 @@
   return query;
 }
 
-PlacementService::PlacementService(std::uint64_t seed, ZoneId zone, GiveWayFunction give_way,
+PlacementService::PlacementService(std::uint64_t seed, ZoneId zone, PreemptFunction preempt,
                                    request::LoadFeatures features)
-    : give_way_(std::move(give_way)),
+    : preempt_(std::move(preempt)),
       features_(features),
       zone_(zone),
       selector_(seed, limitsOfPlacement(std::move(zone), features)) {}
 
 void PlacementService::takeEngines(Instant now, const EngineChanges& changes) {
   selector_.takeEngines(now, changes);
-  serveLines(now);
+  serveQueues(now);
 }
 
-void PlacementService::noteOthers(Instant now, const std::vector<request::EngineShare>& others) {
-  selector_.noteOthers(now, others);
-  serveLines(now);
+void PlacementService::notePeerLoad(Instant now, const std::vector<request::EngineShare>& peers) {
+  selector_.noteOthers(now, peers);
+  serveQueues(now);
 }
 
 PlacementService::Gateway& PlacementService::gatewayOf(Instant now, const std::string& node, const void* connection) {
   Gateway& gateway = gateways_[node];
-  gateway.heard_at = now;
+  gateway.last_received_at = now;
   gateway.connection = connection;
   return gateway;
 }
@@ -68,9 +68,9 @@
 fleet::PlacementAnswer PlacementService::take(Instant now, const fleet::PlacementQuestion& question,
                                               const void* connection) {
   Gateway& gateway = gatewayOf(now, question.node, connection);
-  if (usesLine(question)) return placeOrLine(now, gateway, question);
+  if (usesQueue(question)) return placeOrEnqueue(now, gateway, question);
   if (selector_.isUneven(question.service)) {
-    if (const auto choice = freePlace(now, question, 0)) return placeAt(now, question, *choice);
+    if (const auto choice = chooseFreeSlot(now, question, 0)) return placeAt(now, question, *choice);
   }
   return placeAnywhere(now, question);
 }
@@ -90,11 +90,11 @@
   end(now, gateway, question.number, EngineVerdict::kNeutral);
   gateway.tickets[question.number] = selector_.begin(now, choice.engine.id, queryOf(question));
   ++counters_.placed;
-  if (choice.estimated_running >= choice.engine.slots) ++counters_.placed_at_full;
+  if (choice.estimated_running >= choice.engine.slots) ++counters_.placed_without_free_slot;
   if (choice.must_give_way) {
-    ++counters_.gave_way;
+    ++counters_.preempted;
     selector_.noteGivingWay(choice.engine.id);
-    give_way_(choice.engine.id);
+    preempt_(choice.engine.id);
   }
   fleet::PlacementAnswer answer;
   answer.number = question.number;
@@ -115,32 +115,32 @@
     for (const auto& [number, ticket] : gateway.tickets) {
       if (!present.contains(number)) over.push_back(number);
     }
-    for (const auto& [number, in_line] : gateway.standing) {
+    for (const auto& [number, queue_number] : gateway.queued) {
       if (!present.contains(number)) over.push_back(number);
     }
     for (const std::uint64_t number : over) end(now, gateway, number, EngineVerdict::kNeutral);
   }
   for (const fleet::PlacedRequest& request : notes.present) {
-    // Without an engine: the gateway still waits for the answer.
+    // A request without an engine: the gateway still waits for its placement.
     if (!request.engine.empty()) begin(now, gateway, request);
   }
   for (const std::uint64_t number : notes.answering) {
     const auto ticket = gateway.tickets.find(number);
     if (ticket != gateway.tickets.end()) selector_.noteFirstByte(now, ticket->second);
   }
-  notePaces(now, gateway, notes.paces);
+  noteSpeeds(now, gateway, notes.paces);
   for (const fleet::EndedRequest& ended : notes.ended) {
     const auto ticket = gateway.tickets.find(ended.number);
     if (ended.timing && ticket != gateway.tickets.end()) selector_.noteTiming(ticket->second, *ended.timing);
     end(now, gateway, ended.number, ended.verdict);
   }
-  serveLines(now);
+  serveQueues(now);
 }
 
-void PlacementService::notePaces(Instant now, const Gateway& gateway, const std::vector<fleet::ToldPace>& paces) {
-  for (const fleet::ToldPace& told : paces) {
-    const auto ticket = gateway.tickets.find(told.number);
-    if (ticket != gateway.tickets.end()) selector_.notePace(now, ticket->second, told.pace);
+void PlacementService::noteSpeeds(Instant now, const Gateway& gateway, const std::vector<fleet::ToldPace>& paces) {
+  for (const fleet::ToldPace& reported : paces) {
+    const auto ticket = gateway.tickets.find(reported.number);
+    if (ticket != gateway.tickets.end()) selector_.notePace(now, ticket->second, reported.pace);
   }
 }
 
@@ -155,7 +155,7 @@
 }
 
 void PlacementService::end(Instant now, Gateway& gateway, std::uint64_t number, EngineVerdict verdict) {
-  leaveLine(gateway, number);
+  leaveQueue(gateway, number);
   const auto ticket = gateway.tickets.find(number);
   if (ticket == gateway.tickets.end()) return;
   selector_.end(now, ticket->second, verdict);
@@ -163,7 +163,7 @@
 }
 
 void PlacementService::endAll(Instant now, Gateway& gateway) {
-  while (!gateway.standing.empty()) leaveLine(gateway, gateway.standing.begin()->first);
+  while (!gateway.queued.empty()) leaveQueue(gateway, gateway.queued.begin()->first);
   for (const auto& [number, ticket] : std::exchange(gateway.tickets, {})) {
     selector_.end(now, ticket, EngineVerdict::kNeutral);
   }
@@ -178,7 +178,7 @@
     endAll(now, gateway->second);
     gateway = gateways_.erase(gateway);
   }
-  serveLines(now);
+  serveQueues(now);
 }
 
 void PlacementService::drop(Instant now, const void* connection) {
@@ -186,7 +186,7 @@
 }
 
 void PlacementService::expire(Instant now) {
-  dropIf(now, [now](const Gateway& gateway) { return now > gateway.heard_at + kGatewayLifetime; });
+  dropIf(now, [now](const Gateway& gateway) { return now > gateway.last_received_at + kGatewayLifetime; });
 }
 
 }  // namespace hatchfork::store
--- a/src/process/store/placement_service.hpp
+++ b/src/process/store/placement_service.hpp
@@ -21,75 +21,76 @@
 
 struct PlacementCounters {
   std::uint64_t placed = 0;
-  /// Of these, at an engine where a batch run gives way.
-  std::uint64_t gave_way = 0;
-  /// Of these, at an engine without a free slot, since none of the service was known to have one.
-  std::uint64_t placed_at_full = 0;
-  /// Questions without a usable engine.
+  /// Requests in `placed` for which a batch run was preempted.
+  std::uint64_t preempted = 0;
+  /// Requests in `placed` that were sent to an engine without a free slot, since no engine of the service was reported
+  /// to have one.
+  std::uint64_t placed_without_free_slot = 0;
+  /// Requests for which there was no usable engine.
   std::uint64_t unplaced = 0;
-  /// Requests that stood in line; of these, those that got a place, and those that left it by themselves.
-  std::uint64_t stood = 0;
-  std::uint64_t placed_from_line = 0;
-  std::uint64_t left_line = 0;
-  /// Requests that were refused, since they could not be in time: when they came, and after they had stood in line.
+  /// Requests that entered the queue; of these, the requests that got a slot, and the requests that left the queue
+  /// without an answer (withdrawn, or the gateway disconnected).
+  std::uint64_t queued_total = 0;
+  std::uint64_t placed_from_queue = 0;
+  std::uint64_t left_queue = 0;
+  /// Requests refused because they could not meet their deadline: on arrival, and after having waited in the queue.
   std::uint64_t refused = 0;
-  std::uint64_t refused_from_line = 0;
-  metrics::LatencyHistogram line_wait;
+  std::uint64_t refused_from_queue = 0;
+  metrics::LatencyHistogram queue_wait;
 };
 
-/// Places the online requests of all gateways of a zone, so that each slot of the zone's engines is given away once:
-/// many gateways that choose for themselves know each other's choices too late, and queue at an engine while another
-/// one has a free slot. What the other zones and the batch runs have in flight comes from the load totals. Its state is
-/// soft: gateways tell a new one all that they have. No I/O, no clock. Belongs to one thread.
+/// Places the online requests of all gateways of a zone, so that each slot of the zone's engines is assigned once.
+/// Gateways that choose independently learn of each other's choices too late, and queue at one engine while another
+/// engine has a free slot. The load of other zones and of batch runs comes from the load totals. The state is soft:
+/// gateways report all their requests to a new placement service. No I/O, no clock. Not thread-safe.
 ///
-/// Where engines tell their pace, requests of gateways that know it stand here in line once no engine has a place, and
-/// get the next one that falls free. The requests themselves stay with their gateways: one that hears nothing of the
-/// line for a moment chooses for itself, and says that its request is over here.
+/// Where engines report their speed, requests of gateways that support queueing wait here once no engine has a free
+/// slot, and get the next slot that is released. The gateways keep the requests themselves: a gateway that receives no
+/// queue update for a short time chooses an engine itself, and reports the request as ended.
 class PlacementService {
  public:
-  /// Asks that a batch run at an engine gives way now.
-  using GiveWayFunction = std::function<void(const EngineId& engine)>;
-  /// Sends a later answer to the gateway at the other end of a connection.
+  /// Requests the preemption of a batch run at an engine.
+  using PreemptFunction = std::function<void(const EngineId& engine)>;
+  /// Sends a deferred answer to the gateway at the other end of a connection.
   using AnswerFunction = std::function<void(const void* connection, const fleet::PlacementAnswer& answer)>;
 
-  /// `zone`: this store's own, whose cold engines it alone sends to.
-  PlacementService(std::uint64_t seed, ZoneId zone, GiveWayFunction give_way, request::LoadFeatures features = {});
+  /// `zone`: zone of this store. Cold engines of that zone receive requests through this service only.
+  PlacementService(std::uint64_t seed, ZoneId zone, PreemptFunction preempt, request::LoadFeatures features = {});
 
-  /// Without one, no request stands in line.
+  /// Requests are queued only if an answer handler is set.
   void setAnswerHandler(AnswerFunction answer) { answer_ = std::move(answer); }
   void takeEngines(Instant now, const EngineChanges& changes);
   void setEvacuated(Instant now, const std::set<ZoneId>& zones) { selector_.setEvacuated(now, zones); }
   void setServices(const std::map<ServiceId, RoutedService>& services) { selector_.setServices(services); }
-  /// What processes have in flight whose requests are not placed here.
-  void noteOthers(Instant now, const std::vector<request::EngineShare>& others);
-  /// What batch runs have in flight.
+  /// Replaces the reported load of processes whose requests are not placed by this service.
+  void notePeerLoad(Instant now, const std::vector<request::EngineShare>& peers);
+  /// Replaces the reported load of batch runs.
   void noteBackground(const std::vector<request::EngineShare>& background) { selector_.noteBackground(background); }
-  /// `connection`: identity of the connection that the gateway is reached by.
+  /// `connection`: identity of the gateway's connection.
   fleet::PlacementAnswer take(Instant now, const fleet::PlacementQuestion& question, const void* connection);
   void take(Instant now, const fleet::PlacementNotes& notes, const void* connection);
-  /// The connection has ended: so has what its gateway had in flight, or it will tell anew.
+  /// Drops the requests of the gateway on a closed connection. They have ended, or the gateway reports them again.
   void drop(Instant now, const void* connection);
-  /// Forgets gateways that have told nothing for long.
+  /// Drops gateways that have not reported within their lifetime.
   void expire(Instant now);
-  /// Answers those who stand in line; call many times a second.
+  /// Assigns free slots to queued requests and sends queue updates; to be called many times a second.
   void tick(Instant now);
 
   const PlacementCounters& counters() const { return counters_; }
   std::size_t gateways() const { return gateways_.size(); }
-  /// Requests that stand in line.
-  std::size_t standing() const { return waiting_.size(); }
+  /// Number of requests in the queues.
+  std::size_t queuedRequests() const { return queued_requests_.size(); }
 
  private:
   struct Gateway {
     const void* connection = nullptr;
-    Instant heard_at{};
+    Instant last_received_at{};
     std::map<std::uint64_t, request::TicketId> tickets;
-    std::map<std::uint64_t, request::LineNumber> standing;
-    /// When it was last told that its requests stand in line.
-    Instant told_at{};
+    std::map<std::uint64_t, request::LineNumber> queued;
+    /// Time of the last queue update sent to the gateway.
+    Instant updated_at{};
   };
-  /// A request that stands in line.
-  struct Waiting {
+  struct QueuedRequest {
     fleet::PlacementQuestion question;
   };
 
@@ -99,40 +100,42 @@
   void end(Instant now, Gateway& gateway, std::uint64_t number, request::EngineVerdict verdict);
   void endAll(Instant now, Gateway& gateway);
   void dropIf(Instant now, const std::function<bool(const Gateway&)>& is_gone);
-  void notePaces(Instant now, const Gateway& gateway, const std::vector<fleet::ToldPace>& paces);
+  void noteSpeeds(Instant now, const Gateway& gateway, const std::vector<fleet::ToldPace>& paces);
 
-  /// At the best engine there is, with or without a free place.
+  /// Places the request at the best engine, with or without a free slot.
   fleet::PlacementAnswer placeAnywhere(Instant now, const fleet::PlacementQuestion& question);
   fleet::PlacementAnswer placeAt(Instant now, const fleet::PlacementQuestion& question,
                                  const request::EngineChoice& choice);
-  /// True if the request stands in line where there is no place for it.
-  bool usesLine(const fleet::PlacementQuestion& question) const;
-  fleet::PlacementAnswer placeOrLine(Instant now, Gateway& gateway, const fleet::PlacementQuestion& question);
-  /// An engine with a free place that is worth more than a wait of this long in line.
-  std::optional<request::EngineChoice> freePlace(Instant now, const fleet::PlacementQuestion& question, double wait_ms);
-  /// True if engines' own queues are as good for the request as a line.
+  /// True if the request is queued when no slot is free.
+  bool usesQueue(const fleet::PlacementQuestion& question) const;
+  fleet::PlacementAnswer placeOrEnqueue(Instant now, Gateway& gateway, const fleet::PlacementQuestion& question);
+  /// Returns an engine with a free slot whose detour costs less than waiting `wait_ms` in the queue.
+  std::optional<request::EngineChoice> chooseFreeSlot(Instant now, const fleet::PlacementQuestion& question,
+                                                      double wait_ms);
+  /// True if the engines' own queues serve the request as well as the queue of this service.
   bool hasFastQueues(const fleet::PlacementQuestion& question) const;
-  /// Expected wait of a request before which so many others get a place; zero where it is not known.
-  double lineWaitMs(Instant now, const ServiceId& service, std::size_t ahead) const;
+  /// Expected wait of a request with `ahead` requests before it; zero if unknown.
+  double queueWaitMs(Instant now, const ServiceId& service, std::size_t ahead) const;
   fleet::PlacementAnswer refusal(Instant now, const fleet::PlacementQuestion& question) const;
-  /// Gives places to those who stand in line, and refuses those who can't be in time any more.
-  void serveLines(Instant now);
-  bool serveOne(Instant now, request::ZoneLine& line);
-  void refuseLate(Instant now, request::ZoneLine& line);
-  /// Takes a request out of the line, if it stands there.
-  void leaveLine(Gateway& gateway, std::uint64_t number);
-  /// Forgets a request that has left the line, and answers its gateway.
-  void answerStanding(request::LineNumber number, const std::function<fleet::PlacementAnswer(const Waiting&)>& answer);
+  /// Assigns free slots to queued requests, and refuses requests that can no longer meet their deadline.
+  void serveQueues(Instant now);
+  bool serveNext(Instant now, request::ZoneLine& queue);
+  void refuseLate(Instant now, request::ZoneLine& queue);
+  /// Removes a request from the queue, if queued.
+  void leaveQueue(Gateway& gateway, std::uint64_t number);
+  /// Drops a request that has left the queue, and answers its gateway.
+  void answerQueued(request::LineNumber number,
+                    const std::function<fleet::PlacementAnswer(const QueuedRequest&)>& answer);
 
-  GiveWayFunction give_way_;
+  PreemptFunction preempt_;
   AnswerFunction answer_;
   request::LoadFeatures features_;
   ZoneId zone_;
   request::EngineSelector selector_;
   std::map<std::string, Gateway> gateways_;
-  std::map<ServiceId, request::ZoneLine> lines_;
-  std::map<request::LineNumber, Waiting> waiting_;
-  request::LineNumber last_line_number_ = 0;
+  std::map<ServiceId, request::ZoneLine> queues_;
+  std::map<request::LineNumber, QueuedRequest> queued_requests_;
+  request::LineNumber last_queue_number_ = 0;
   PlacementCounters counters_;
 };
 
--- a/src/process/store/placement_service_line.cpp
+++ b/src/process/store/placement_service_line.cpp
@@ -4,7 +4,7 @@
 #include "common/log.hpp"
 #include "process/store/placement_service.hpp"
 
-// Requests that wait here for a place at an engine.
+// Requests that wait in the queues of the placement service for a slot at an engine.
 namespace hatchfork::store {
 
 using request::EngineChoice;
@@ -13,18 +13,21 @@
 
 namespace {
 
-/// Of the first ones in line so many are offered a place: some may not run in every zone, or at every engine.
-constexpr std::size_t kOfferedAtOnce = 3;
-/// A request enters if it is expected to wait for no more than this share of the time that it has left, since the wait
-/// is an estimate: were it all used, most of a long line would be a little late. Who stands already may use it all.
-constexpr double kSureShare = 0.8;
-/// A detour that is worth a place, though the line is short.
-constexpr double kWorthDetourMs = 10;
-/// Where a busy engine frees a place within this share of the time that a request has left, its own queue moves on so
-/// fast that a line gains nothing, and a wait for a better engine only costs.
+/// Number of requests at the head of a queue that are offered a free slot: some may not be allowed in every zone, or at
+/// every engine.
+constexpr std::size_t kCandidatesPerSlot = 3;
+/// A request is queued if its expected wait is at most this share of the time that it has left. The wait is an
+/// estimate: with a share of 1, most of a long queue would be slightly late. Requests already in the queue may use all
+/// their time.
+constexpr double kAdmittedWaitShare = 0.8;
+/// Detour that is accepted for a free slot even if the queue is short.
+constexpr double kAcceptedDetourMs = 10;
+/// If a busy engine releases a slot within this share of the time that a request has left, the engine's own queue
+/// advances so fast that queueing here gains nothing, and waiting for a better engine only adds latency.
 constexpr double kFastQueueShare = 0.1;
-/// Gateways whose requests stand here hear of it this often, so that they don't take this store for silent.
-constexpr Duration kWordInterval = fromMillis(40);
+/// Interval of queue updates to gateways with queued requests. They serve as heartbeats: a gateway that receives none
+/// regards this store as silent.
+constexpr Duration kQueueUpdateInterval = fromMillis(40);
 
 request::Standing standingOf(Instant now, const fleet::PlacementQuestion& question) {
   const fleet::PlacementTerms& terms = *question.terms;
@@ -38,19 +41,19 @@
 
 }  // namespace
 
-bool PlacementService::usesLine(const fleet::PlacementQuestion& question) const {
+bool PlacementService::usesQueue(const fleet::PlacementQuestion& question) const {
   if (!features_.zone_line || !answer_ || !question.terms) return false;
-  // A zone without engines of its own sees no place fall free.
+  // In a zone without engines of its own, no released slot is observed.
   return selector_.isUneven(question.service) && selector_.engineCount(question.service, zone_) > 0;
 }
 
-double PlacementService::lineWaitMs(Instant now, const ServiceId& service, std::size_t ahead) const {
+double PlacementService::queueWaitMs(Instant now, const ServiceId& service, std::size_t ahead) const {
   const double freed = selector_.placesFreedEachMs(now, service, zone_);
   return freed > 0 ? static_cast<double>(ahead + 1) / freed : 0;
 }
 
-std::optional<EngineChoice> PlacementService::freePlace(Instant now, const fleet::PlacementQuestion& question,
-                                                        double wait_ms) {
+std::optional<EngineChoice> PlacementService::chooseFreeSlot(Instant now, const fleet::PlacementQuestion& question,
+                                                             double wait_ms) {
   request::EngineQuery query = queryOf(question);
   query.wants_free_place = true;
   const auto choose = [&](double most_detour_ms) {
@@ -58,13 +61,13 @@
     if (choice && choice->detour_ms > most_detour_ms) choice.reset();
     return choice;
   };
-  // The way to another zone is dear, and a batch run that gives way is dearer: it runs again.
+  // Sending to another zone is expensive, and preempting a batch run more so, since that run has to be repeated.
   const bool may_stay = !query.zones || query.zones->contains(zone_);
   query.spares_background = true;
   if (may_stay) query.zones = std::set<ZoneId>{zone_};
   if (std::optional<EngineChoice> near = choose(wait_ms)) return near;
   query.zones = question.zones;
-  if (std::optional<EngineChoice> anywhere = choose(std::max(wait_ms, kWorthDetourMs))) return anywhere;
+  if (std::optional<EngineChoice> anywhere = choose(std::max(wait_ms, kAcceptedDetourMs))) return anywhere;
   query.spares_background = false;
   if (may_stay) query.zones = std::set<ZoneId>{zone_};
   return choose(wait_ms);
@@ -78,77 +81,77 @@
 fleet::PlacementAnswer PlacementService::refusal(Instant now, const fleet::PlacementQuestion& question) const {
   fleet::PlacementAnswer answer;
   answer.number = question.number;
-  const auto line = lines_.find(question.service);
-  const std::size_t standing = line == lines_.end() ? 0 : line->second.size();
-  answer.refused_for_ms = static_cast<std::int64_t>(lineWaitMs(now, question.service, standing));
+  const auto queue = queues_.find(question.service);
+  const std::size_t queued = queue == queues_.end() ? 0 : queue->second.size();
+  answer.refused_for_ms = static_cast<std::int64_t>(queueWaitMs(now, question.service, queued));
   return answer;
 }
 
-fleet::PlacementAnswer PlacementService::placeOrLine(Instant now, Gateway& gateway,
-                                                     const fleet::PlacementQuestion& question) {
-  leaveLine(gateway, question.number);
-  ZoneLine& line = lines_[question.service];
+fleet::PlacementAnswer PlacementService::placeOrEnqueue(Instant now, Gateway& gateway,
+                                                        const fleet::PlacementQuestion& question) {
+  leaveQueue(gateway, question.number);
+  ZoneLine& queue = queues_[question.service];
   const request::Standing standing = standingOf(now, question);
-  const std::size_t ahead = line.ahead(standing);
-  const double wait_ms = lineWaitMs(now, question.service, ahead);
+  const std::size_t ahead = queue.ahead(standing);
+  const double wait_ms = queueWaitMs(now, question.service, ahead);
   if (ahead == 0) {
-    if (const auto choice = freePlace(now, question, wait_ms)) return placeAt(now, question, *choice);
+    if (const auto choice = chooseFreeSlot(now, question, wait_ms)) return placeAt(now, question, *choice);
     if (hasFastQueues(question)) return placeAnywhere(now, question);
   }
-  if (standing.may_be_refused && wait_ms > kSureShare * static_cast<double>(question.terms->left_ms)) {
+  if (standing.may_be_refused && wait_ms > kAdmittedWaitShare * static_cast<double>(question.terms->left_ms)) {
     ++counters_.refused;
     return refusal(now, question);
   }
-  const LineNumber number = ++last_line_number_;
-  if (selector_.engineCount(question.service) == 0 || !line.enter(now, number, standing)) {
+  const LineNumber number = ++last_queue_number_;
+  if (selector_.engineCount(question.service) == 0 || !queue.enter(now, number, standing)) {
     return placeAnywhere(now, question);
   }
-  waiting_[number] = Waiting{question};
-  gateway.standing[question.number] = number;
-  gateway.told_at = now;
-  ++counters_.stood;
+  queued_requests_[number] = QueuedRequest{question};
+  gateway.queued[question.number] = number;
+  gateway.updated_at = now;
+  ++counters_.queued_total;
   fleet::PlacementAnswer answer;
   answer.number = question.number;
   answer.position = static_cast<std::int64_t>(ahead);
   return answer;
 }
 
-void PlacementService::serveLines(Instant now) {
-  for (auto& [service, line] : lines_) {
-    if (line.isEmpty()) continue;
-    while (serveOne(now, line)) continue;
-    refuseLate(now, line);
+void PlacementService::serveQueues(Instant now) {
+  for (auto& [service, queue] : queues_) {
+    if (queue.isEmpty()) continue;
+    while (serveNext(now, queue)) continue;
+    refuseLate(now, queue);
   }
 }
 
-bool PlacementService::serveOne(Instant now, ZoneLine& line) {
+bool PlacementService::serveNext(Instant now, ZoneLine& queue) {
   std::size_t ahead = 0;
-  for (const LineNumber number : line.first(kOfferedAtOnce)) {
-    const fleet::PlacementQuestion& question = waiting_.at(number).question;
-    const Duration waited = line.waited(now, number);
+  for (const LineNumber number : queue.first(kCandidatesPerSlot)) {
+    const fleet::PlacementQuestion& question = queued_requests_.at(number).question;
+    const Duration waited = queue.waited(now, number);
     const double waited_ms = toSeconds(waited) * 1000;
-    const double wait_ms = std::max(waited_ms, lineWaitMs(now, question.service, ahead++));
-    const std::optional<EngineChoice> choice = freePlace(now, question, wait_ms);
+    const double wait_ms = std::max(waited_ms, queueWaitMs(now, question.service, ahead++));
+    const std::optional<EngineChoice> choice = chooseFreeSlot(now, question, wait_ms);
     if (!choice) continue;
-    line.noteServed(number);
-    ++counters_.placed_from_line;
-    counters_.line_wait.observe(waited);
-    answerStanding(number, [&](const Waiting& one) { return placeAt(now, one.question, *choice); });
+    queue.noteServed(number);
+    ++counters_.placed_from_queue;
+    counters_.queue_wait.observe(waited);
+    answerQueued(number, [&](const QueuedRequest& pending) { return placeAt(now, pending.question, *choice); });
     return true;
   }
   return false;
 }
 
-void PlacementService::refuseLate(Instant now, ZoneLine& line) {
-  const std::size_t before = line.size();
+void PlacementService::refuseLate(Instant now, ZoneLine& queue) {
+  const std::size_t before = queue.size();
   std::map<LineNumber, bool> may_be_refused;
-  for (const LineNumber number : line.late(now)) may_be_refused[number] = line.at(number).may_be_refused;
+  for (const LineNumber number : queue.late(now)) may_be_refused[number] = queue.at(number).may_be_refused;
   for (const auto& [number, refused] : may_be_refused) {
-    counters_.line_wait.observe(line.waited(now, number));
-    line.leave(number);
-    if (refused) ++counters_.refused_from_line;
-    answerStanding(number, [&, is_refused = refused](const Waiting& one) {
-      return is_refused ? refusal(now, one.question) : placeAnywhere(now, one.question);
+    counters_.queue_wait.observe(queue.waited(now, number));
+    queue.leave(number);
+    if (refused) ++counters_.refused_from_queue;
+    answerQueued(number, [&, is_refused = refused](const QueuedRequest& pending) {
+      return is_refused ? refusal(now, pending.question) : placeAnywhere(now, pending.question);
     });
   }
   if (may_be_refused.empty()) return;
@@ -156,38 +159,38 @@
            {{"requests", may_be_refused.size()}, {"standing_before", before}, {"zone", zone_.value}});
 }
 
-void PlacementService::answerStanding(LineNumber number,
-                                      const std::function<fleet::PlacementAnswer(const Waiting&)>& answer) {
-  const auto found = waiting_.find(number);
-  const Waiting waiting = std::move(found->second);
-  waiting_.erase(found);
+void PlacementService::answerQueued(LineNumber number,
+                                    const std::function<fleet::PlacementAnswer(const QueuedRequest&)>& answer) {
+  const auto found = queued_requests_.find(number);
+  const QueuedRequest waiting = std::move(found->second);
+  queued_requests_.erase(found);
   Gateway& gateway = gateways_.at(waiting.question.node);
-  gateway.standing.erase(waiting.question.number);
-  const fleet::PlacementAnswer told = answer(waiting);
-  answer_(gateway.connection, told);
+  gateway.queued.erase(waiting.question.number);
+  const fleet::PlacementAnswer sent = answer(waiting);
+  answer_(gateway.connection, sent);
 }
 
-void PlacementService::leaveLine(Gateway& gateway, std::uint64_t number) {
-  const auto standing = gateway.standing.find(number);
-  if (standing == gateway.standing.end()) return;
-  const auto waiting = waiting_.find(standing->second);
-  lines_.at(waiting->second.question.service).leave(standing->second);
-  waiting_.erase(waiting);
-  gateway.standing.erase(standing);
-  ++counters_.left_line;
+void PlacementService::leaveQueue(Gateway& gateway, std::uint64_t number) {
+  const auto entry = gateway.queued.find(number);
+  if (entry == gateway.queued.end()) return;
+  const auto waiting = queued_requests_.find(entry->second);
+  queues_.at(waiting->second.question.service).leave(entry->second);
+  queued_requests_.erase(waiting);
+  gateway.queued.erase(entry);
+  ++counters_.left_queue;
 }
 
 void PlacementService::tick(Instant now) {
-  serveLines(now);
+  serveQueues(now);
   for (auto& [node, gateway] : gateways_) {
-    if (gateway.standing.empty() || now < gateway.told_at + kWordInterval) continue;
-    gateway.told_at = now;
-    const auto& [number, in_line] = *gateway.standing.begin();
-    fleet::PlacementAnswer word;
-    word.number = number;
-    const ZoneLine& line = lines_.at(waiting_.at(in_line).question.service);
-    word.position = static_cast<std::int64_t>(line.aheadOf(in_line));
-    answer_(gateway.connection, word);
+    if (gateway.queued.empty() || now < gateway.updated_at + kQueueUpdateInterval) continue;
+    gateway.updated_at = now;
+    const auto& [number, queue_number] = *gateway.queued.begin();
+    fleet::PlacementAnswer update;
+    update.number = number;
+    const ZoneLine& queue = queues_.at(queued_requests_.at(queue_number).question.service);
+    update.position = static_cast<std::int64_t>(queue.aheadOf(queue_number));
+    answer_(gateway.connection, update);
   }
 }
 
--- a/src/process/store/store_messages.hpp
+++ b/src/process/store/store_messages.hpp
@@ -17,17 +17,17 @@
   static constexpr std::string_view kKind = "submit";
   JobSubmission job;
   WaitingLimit limit;
-  /// Names this try of the submitter; copies of one try have one outcome.
+  /// Identifies this attempt of the submitter; all copies of an attempt have the same outcome.
   std::uint64_t attempt = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(SubmitJobRequest, job, limit, attempt)
 
-/// `tenant` of these requests: the caller's; a job of another one is unknown to it.
+/// `tenant`, here and below: the tenant of the caller. Jobs of other tenants are reported as unknown.
 struct ReadResultsRequest {
   static constexpr std::string_view kKind = "results";
   JobId job;
   std::uint64_t from = 0;
-  /// How long the answer may be held until there is a result.
+  /// Maximum time for which the reply may be delayed until there is a result.
   std::uint32_t wait_ms = 0;
   TenantId tenant;
 };
@@ -50,7 +50,7 @@
 
 using StoreRequest = std::variant<SubmitJobRequest, ReadResultsRequest, ReadItemRequest, EndJobRequest>;
 
-/// Done and kept: a submission or an end.
+/// The submission or the end of a job was committed.
 struct DoneReply {
   static constexpr std::string_view kKind = "done";
 };
@@ -73,7 +73,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ItemReply, body)
 
-/// Certainly no such job or item.
+/// There certainly is no such job or item, or the job belongs to another tenant.
 struct UnknownReply {
   static constexpr std::string_view kKind = "unknown";
 };
@@ -82,7 +82,7 @@
 }
 inline void from_json(const nlohmann::json&, UnknownReply&) {}
 
-/// Not answered here. `may_apply` is false only if the request surely has no effect, now or later.
+/// Not served by this store. `may_apply` is false only if the request certainly has no effect, now or later.
 struct UnavailableReply {
   static constexpr std::string_view kKind = "unavailable";
   bool may_apply = false;
@@ -90,13 +90,13 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(UnavailableReply, may_apply, cause)
 
-/// The job does not fit beside what waits on its route. Final for this try: no copy of it has an effect.
+/// The job exceeds the limit of waiting tokens on its route. Final: no copy of this attempt takes effect.
 struct OverLimitReply {
   static constexpr std::string_view kKind = "over_limit";
-  /// Tokens that wait, and those of the refused job.
+  /// Tokens already waiting on the route, and tokens of the refused job.
   std::uint64_t waiting_tokens = 0;
   std::uint64_t job_tokens = 0;
-  /// When it is likely to fit, as far as the route's progress tells.
+  /// Estimated time until the job fits, from the progress of the route, in milliseconds.
   std::uint32_t come_back_ms = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(OverLimitReply, waiting_tokens, job_tokens, come_back_ms)
--- a/src/process/store/store_program.cpp
+++ b/src/process/store/store_program.cpp
@@ -21,17 +21,18 @@
 
 namespace {
 
-/// The one group of all stores.
+/// All stores form a single group.
 constexpr GroupId kStoreGroup = 1;
 constexpr Duration kTickInterval = fromMillis(50);
-constexpr Duration kLeadershipHandOverTime = fromMillis(1500);
-/// A stopping store waits this long for the next leader to keep what engines answered to its runs.
-constexpr Duration kAnswerHandOverTime = fromMillis(1500);
-/// Each run holds its request, its text and buffers.
+constexpr Duration kLeadershipTransferTimeout = fromMillis(1500);
+/// A stopping store waits this long for the next leader to store the answers of engines to its runs.
+constexpr Duration kAnswerHandoverTimeout = fromMillis(1500);
+/// Bounds the memory of runs: each run has a request, a text and buffers.
 constexpr std::size_t kRunsPerMegabyte = 2;
 constexpr Duration kTrimInterval = std::chrono::seconds(1);
-constexpr std::size_t kFewestVoters = 3;
-/// A store under load may be late by a fifth of a second; elections in series cost more than a slow one.
+constexpr std::size_t kMinVoters = 3;
+/// Heartbeat interval and election timeout. Heartbeats of a store under load may be late by 200 ms, and a series of
+/// elections costs more than a slow election.
 constexpr consensus::Timing kStoreTiming{fromMillis(75), fromMillis(300)};
 
 }  // namespace
@@ -53,24 +54,24 @@
           settings_.name, settings_.zone, engine_keys_,
           [this](const ReplicaId& to, const fleet::LoadReportFrame& report) { return sendLoadReport(to, report); }),
       placement_(
-          std::random_device()(), settings_.zone, [this](const EngineId& engine) { askToGiveWay(engine); },
+          std::random_device()(), settings_.zone, [this](const EngineId& engine) { requestPreemption(engine); },
           settings_.load),
       rate_limits_(settings_.rate_limits) {
   own_load_.setKind(fleet::LoadKind::kBackground);
   placement_.setAnswerHandler([this](const void* connection, const fleet::PlacementAnswer& answer) {
     const auto link = placement_links_.find(connection);
-    // Who is not reached any more asks at another store, or chooses for itself.
+    // A disconnected gateway sends its request to another store, or chooses an engine itself.
     if (link != placement_links_.end()) link->second->send(encodeTagged(FleetMessage(answer)));
   });
-  crashes_.setNewsHandler([this] { tellCrashesSoon(); });
-  crash_relay_.setNewsHandler([this] { tellCrashesSoon(); });
+  crashes_.setNewsHandler([this] { scheduleCrashReport(); });
+  crash_relay_.setNewsHandler([this] { scheduleCrashReport(); });
   links_.setFrameHandler([this](const std::string& body) { onReturnedFrame(body); });
 }
 
 StoreProgram::~StoreProgram() = default;
 
 Status StoreProgram::start() {
-  connection::FrameConnection::setOutboxLimit(memory_.part(memory::MemoryHolder::kOutboxes));
+  connection::FrameConnection::setOutboxLimit(memory_.quota(memory::MemoryConsumer::kOutboxes));
   JobExecutorOptions executor_options;
   executor_options.self = settings_.self();
   executor_options.zone = settings_.zone;
@@ -95,19 +96,19 @@
   options.timing = kStoreTiming;
   options.self = settings_.self();
   options.data_folder = settings_.data_folder;
-  options.most_voters = std::max<std::size_t>(kFewestVoters, 2 * settings_.tolerated_losses + 1);
+  options.most_voters = std::max<std::size_t>(kMinVoters, 2 * settings_.tolerated_losses + 1);
   auto make_machine = [this] { return std::make_unique<JobState>([this](const JobId& job) { noteChange(job); }); };
   auto adopt_machine = [this](consensus::StateMachine& machine) {
     state_ = static_cast<JobState*>(&machine);
-    kept_crashes_taken_ = 0;
+    kept_crashes_applied_ = 0;
     executor_->setState(*state_);
   };
   auto send = [this](const ReplicaId& to, const FleetMessage& message) { return links_.send(to, message); };
   group_ = std::make_unique<fleet::GroupHost>(context_, options, make_machine, adopt_machine, send);
   const Status group_started = group_->start();
   if (!isOk(group_started)) return group_started;
-  group_->setProgressHandler([this] { updateLeading(); });
-  recallCrashes(monotonicNow());
+  group_->setProgressHandler([this] { updateLeadership(); });
+  recoverCrashes(monotonicNow());
 
   auto on_close = [this](const ConnectionPtr& closed) {
     placement_.drop(monotonicNow(), closed.get());
@@ -164,7 +165,7 @@
 
 void StoreProgram::onView(const fleet::FleetView& view, const fleet::FleetChange& change) {
   const Instant now = monotonicNow();
-  if (change.directory) takeDirectory(now, view);
+  if (change.directory) applyDirectory(now, view);
   if (change.routes) {
     updateRateLimits(view);
     placement_.setServices(view.routes->services());
@@ -176,7 +177,7 @@
   if (!change.isEmpty()) executor_->takeView(view, change);
 }
 
-void StoreProgram::takeDirectory(Instant now, const fleet::FleetView& view) {
+void StoreProgram::applyDirectory(Instant now, const fleet::FleetView& view) {
   group_->setContacts(groupContacts(view), view.stores.size());
   group_->setRetiring(std::set<ReplicaId>(view.retiring.begin(), view.retiring.end()));
   if (!view.store_group.members.empty()) group_->formWith(view.store_group);
@@ -215,7 +216,7 @@
   } else if (const auto* totals = std::get_if<fleet::LoadTotalsFrame>(&decoded)) {
     aggregator_.take(monotonicNow(), *totals);
   } else if (const auto* background = std::get_if<fleet::BackgroundLoadFrame>(&decoded)) {
-    onBackground(*background);
+    onBackgroundLoad(*background);
   } else if (const auto* wanted = std::get_if<fleet::GiveWayFrame>(&decoded)) {
     executor_->giveWay(wanted->engine);
   } else if (const auto* placement = std::get_if<fleet::PlacementQuestion>(&decoded)) {
@@ -241,7 +242,7 @@
 
 bool StoreProgram::sendToStore(const ReplicaId& to, const FleetMessage& message) {
   if (to != settings_.self()) return links_.send(to, message);
-  // Posted, so that neither side is called back from within its own call.
+  // Posted, so that neither the runner nor the executor is called back during its own call.
   connection::asio::post(context_, [this, message] {
     if (const auto* order = std::get_if<fleet::RunOrder>(&message)) runner_->take(*order);
     if (const auto* lease = std::get_if<fleet::RunLease>(&message)) runner_->take(*lease);
@@ -251,16 +252,16 @@
   return true;
 }
 
-void StoreProgram::updateLeading() {
+void StoreProgram::updateLeadership() {
   const Instant now = monotonicNow();
   if (group_->isConfirmedLeader()) confirmed_at_ = now;
-  // A leader that no quorum confirms for a moment goes on; the group ends its leadership if that lasts.
+  // A leader that is briefly not confirmed by a quorum continues; the group ends its leadership if that lasts.
   const bool same_leadership = executor_->isLeading() && group_->isLeader() && group_->term() == executor_->term();
   executor_->setLeading(!stopping_ && (confirmed_at_ == now || same_leadership), group_->term());
 }
 
 void StoreProgram::fillMetrics(metrics::MetricsPage& page) const {
-  // First, since collectors may keep only the beginning of a long page.
+  // Memory metrics come first, since collectors may truncate a long page.
   fillMemoryMetrics(page);
   fleet::fillGroupMetrics(page, group_->status());
   const JobExecutorCounters& counters = executor_->counters();
@@ -303,11 +304,11 @@
     page.counter("hatchfork_placed_total", "Online requests placed for gateways, by what was found.",
                  static_cast<double>(value), {{"outcome", outcome}});
   };
-  placed("free_slot", placements.placed - placements.placed_at_full - placements.gave_way);
-  placed("gave_way", placements.gave_way);
-  placed("no_free_slot", placements.placed_at_full);
+  placed("free_slot", placements.placed - placements.placed_without_free_slot - placements.preempted);
+  placed("gave_way", placements.preempted);
+  placed("no_free_slot", placements.placed_without_free_slot);
   placed("no_engine", placements.unplaced);
-  fillLineMetrics(page);
+  fillQueueMetrics(page);
   page.gauge("hatchfork_rate_limit_buckets", "Tenants whose rate limits this store has kept lately.",
              static_cast<double>(rate_limits_.buckets()));
   const request::ReturnCounters returns = rate_limits_.returns();
@@ -333,43 +334,43 @@
 }
 
 void StoreProgram::fillMemoryMetrics(metrics::MetricsPage& page) const {
-  using memory::MemoryHolder;
+  using memory::MemoryConsumer;
   page.gauge("hatchfork_jobs_held", "Jobs that are kept.", static_cast<double>(state_->jobs().size()));
   page.gauge("hatchfork_held_bytes", "Bytes of bodies and texts in memory.", static_cast<double>(state_->heldBytes()));
-  for (const MemoryHolder holder : {MemoryHolder::kState, MemoryHolder::kSnapshot, MemoryHolder::kLog,
-                                    MemoryHolder::kRequests, MemoryHolder::kOutboxes}) {
-    const std::vector<metrics::Label> labels = {{"holder", std::string(memory::nameOf(holder))}};
+  for (const MemoryConsumer consumer : {MemoryConsumer::kState, MemoryConsumer::kSnapshot, MemoryConsumer::kLog,
+                                        MemoryConsumer::kRequests, MemoryConsumer::kOutboxes}) {
+    const std::vector<metrics::Label> labels = {{"holder", std::string(memory::nameOf(consumer))}};
     page.gauge("hatchfork_memory_held_bytes", "Bytes that a holder has, as last counted.",
-               static_cast<double>(memory_.held(holder)), labels);
+               static_cast<double>(memory_.held(consumer)), labels);
     page.gauge("hatchfork_memory_part_bytes", "Bytes that a holder may have.",
-               static_cast<double>(memory_.part(holder)), labels);
+               static_cast<double>(memory_.quota(consumer)), labels);
   }
 }
 
 void StoreProgram::measureMemory() {
-  using memory::MemoryHolder;
-  memory_.note(MemoryHolder::kState, state_->memoryBytes());
-  memory_.note(MemoryHolder::kSnapshot, state_->snapshotBytesHeld());
-  memory_.note(MemoryHolder::kLog, group_->logBytesInMemory());
-  memory_.note(MemoryHolder::kRequests, submission_bytes_);
-  memory_.note(MemoryHolder::kOutboxes, connection::FrameConnection::outboxBytesOfProcess());
+  using memory::MemoryConsumer;
+  memory_.note(MemoryConsumer::kState, state_->memoryBytes());
+  memory_.note(MemoryConsumer::kSnapshot, state_->snapshotBytesHeld());
+  memory_.note(MemoryConsumer::kLog, group_->logBytesInMemory());
+  memory_.note(MemoryConsumer::kRequests, submission_bytes_);
+  memory_.note(MemoryConsumer::kOutboxes, connection::FrameConnection::outboxBytesOfProcess());
 }
 
-void StoreProgram::fillLineMetrics(metrics::MetricsPage& page) const {
-  const PlacementCounters& line = placement_.counters();
+void StoreProgram::fillQueueMetrics(metrics::MetricsPage& page) const {
+  const PlacementCounters& queue_counters = placement_.counters();
   const auto left = [&page](const char* outcome, std::uint64_t value) {
     page.counter("hatchfork_line_left_total", "Online requests that stood in line here, by how they left it.",
                  static_cast<double>(value), {{"outcome", outcome}});
   };
-  left("placed", line.placed_from_line);
-  left("refused", line.refused_from_line);
-  left("by_itself", line.left_line);
+  left("placed", queue_counters.placed_from_queue);
+  left("refused", queue_counters.refused_from_queue);
+  left("by_itself", queue_counters.left_queue);
   page.counter("hatchfork_line_refused_at_once_total", "Online requests that could not have been in time in line.",
-               static_cast<double>(line.refused));
+               static_cast<double>(queue_counters.refused));
   page.gauge("hatchfork_line_length", "Online requests that stand in line here.",
-             static_cast<double>(placement_.standing()));
+             static_cast<double>(placement_.queuedRequests()));
   page.histogram("hatchfork_line_wait_ms", "Wait in line of requests that were placed or refused from it.",
-                 line.line_wait);
+                 queue_counters.queue_wait);
 }
 
 void StoreProgram::noteChange(const JobId& job) {
@@ -379,12 +380,12 @@
     change_posted_ = false;
     const fleet::HandlerWatch::Timer timer(handlers_, "changed_jobs");
     for (const JobId& changed : std::exchange(changed_jobs_, {})) executor_->noteChange(changed);
-    answerHeldReads(monotonicNow());
+    answerPendingReads(monotonicNow());
   });
 }
 
-/// A state that was restored counts anew.
-void StoreProgram::measureProgress(Instant now) {
+/// After a restore, the count of listed tokens may be lower than at the last measurement.
+void StoreProgram::measureDrainRate(Instant now) {
   const std::uint64_t listed = state_->listedTokens();
   if (listed > listed_tokens_) finished_tokens_.noteFinished(now, static_cast<double>(listed - listed_tokens_));
   listed_tokens_ = listed;
@@ -400,15 +401,15 @@
 
 void StoreProgram::tick(Instant now) {
   suspensions_.look();
-  updateLeading();
-  keepCrashes(now);
+  updateLeadership();
+  proposeCrashes(now);
   executor_->tick(now);
   runner_->tick(now);
-  answerHeldReads(now);
-  measureProgress(now);
+  answerPendingReads(now);
+  measureDrainRate(now);
   reportOwnLoad(now);
   aggregator_.tick(now);
-  if (placement_.gateways() > 0) placement_.noteOthers(now, aggregator_.notPlacedHere());
+  if (placement_.gateways() > 0) placement_.notePeerLoad(now, aggregator_.notPlacedHere());
   placement_.tick(now);
   links_.dropUnused(now);
   if (now < next_trim_) return;
@@ -418,7 +419,7 @@
   placement_.expire(now);
   crash_relay_.tick(now);
   runner_->closeIdle([this](const EngineId& engine) { return executor_->knowsEngine(engine); });
-  // Large messages leave free memory behind that the allocator would keep.
+  // Returns memory to the system that large messages have left free in the allocator.
   ::malloc_trim(0);
 }
 
@@ -426,14 +427,14 @@
   co_await connection::awaitStopSignal();
   logEvent(LogLevel::kInfo, "planned_stop_started", {{"running", executor_->running()}});
   stopping_ = true;
-  updateLeading();
+  updateLeadership();
   runner_->handBack();
   group_->transferLeadership();
-  const Instant give_up = monotonicNow() + kLeadershipHandOverTime;
+  const Instant give_up = monotonicNow() + kLeadershipTransferTimeout;
   while (group_->isConfirmedLeader() && monotonicNow() < give_up) co_await connection::sleepFor(fromMillis(20));
-  // Answers that the new leader's first entries release still go out.
+  // Leaves time to send the answers that the first entries of the new leader release.
   co_await connection::sleepFor(fromMillis(100));
-  const Instant answers_until = monotonicNow() + kAnswerHandOverTime;
+  const Instant answers_until = monotonicNow() + kAnswerHandoverTimeout;
   while (runner_->unkeptAnswers() > 0 && monotonicNow() < answers_until) co_await connection::sleepFor(fromMillis(20));
   context_.stop();
 }
--- a/src/process/store/store_program.hpp
+++ b/src/process/store/store_program.hpp
@@ -32,25 +32,25 @@
 
 namespace hatchfork::store {
 
-/// The store program: one replica of the store group, the requests of gateways, and, at the group's leader, the runs of
-/// batch items. All on one thread; only disk syncs run on another.
+/// The store program: a replica of the store group. Serves the requests of gateways and, as the leader of the group,
+/// runs batch items. Runs on one thread; only disk syncs use a second thread.
 class StoreProgram {
  public:
   StoreProgram(fleet::FleetSettings settings, std::string settings_file, std::unique_ptr<const Dialect> dialect);
   ~StoreProgram();
 
-  /// Runs until a planned stop has ended. Returns an error when the start failed.
+  /// Runs until a planned stop is complete. Returns an error if the start failed.
   Status run();
 
  private:
-  /// A proposal without an outcome after this long counts as unknown.
+  /// The outcome of a proposal is unknown if there is no decision within this time.
   static constexpr Duration kProposalTimeout = fromMillis(2000);
 
   using ConnectionPtr = connection::FrameServer::ConnectionPtr;
   using ReplyFunction = std::function<void(StoreReply)>;
 
-  /// A read of results that waits for the first one.
-  struct HeldRead {
+  /// A read of results that is parked until the first result or its deadline.
+  struct PendingRead {
     ReadResultsRequest request;
     Instant deadline;
     ReplyFunction reply;
@@ -60,54 +60,53 @@
   void onFrame(const std::string& body, const ConnectionPtr& from);
   void dispatch(const fleet::FleetMessage& message, const ConnectionPtr& from);
   void tick(Instant now);
-  /// A process reports its load to this store.
   void onLoadReport(const fleet::LoadReportFrame& report, const ConnectionPtr& from);
-  /// What other stores send back on links from here.
+  /// Handles frames that other stores send back on outgoing links.
   void onReturnedFrame(const std::string& body);
   void onDigest(const fleet::LoadDigestFrame& digest);
   bool sendLoadReport(const ReplicaId& to, const fleet::LoadReportFrame& report);
-  /// Batch runs of the leader, for those that place online requests.
-  void tellBackground(const std::vector<request::EngineShare>& shares);
-  void onBackground(const fleet::BackgroundLoadFrame& background);
-  /// A placed request needs the slot of a batch run.
-  void askToGiveWay(const EngineId& engine);
-  /// Takes what the group keeps of requests that end engines; at the leader, has it keep what it lacks.
-  void keepCrashes(Instant now);
-  /// Takes the crashes that the log of this store holds, before a leader tells which of them the group keeps.
-  void recallCrashes(Instant now);
-  void takeKeptCrashes(Instant now, const std::vector<KeptCrash>& crashes);
-  /// Tells what was seen here of requests that end engines, with other news of the same moment.
-  void tellCrashesSoon();
+  /// Sends the load of batch runs to the stores that place online requests; called at the leader.
+  void sendBackgroundLoad(const std::vector<request::EngineShare>& shares);
+  void onBackgroundLoad(const fleet::BackgroundLoadFrame& background);
+  /// Requests the preemption of a batch run whose slot a placed request needs.
+  void requestPreemption(const EngineId& engine);
+  /// Applies the crashes that the group keeps of requests that crash engines; the leader also proposes missing crashes.
+  void proposeCrashes(Instant now);
+  /// Applies the crashes in the log of this store, before a leader has confirmed which of these entries are committed.
+  void recoverCrashes(Instant now);
+  void applyKeptCrashes(Instant now, const std::vector<KeptCrash>& crashes);
+  /// Schedules the report of locally observed engine crashes, batched with other reports of the same moment.
+  void scheduleCrashReport();
   void onCreditQuestion(const fleet::CreditQuestionFrame& frame, const ConnectionPtr& from);
-  /// Takes the tenants' limits, and the stores that own them, from the newest view.
+  /// Updates the tenants' limits, and the stores that own them, from the latest view.
   void updateRateLimits(const fleet::FleetView& view);
-  /// At the leader: tells what its runs have in flight, and once that they are over.
+  /// Reports the in-flight load of the leader's runs; reports once more, with no load, after leadership is lost.
   void reportOwnLoad(Instant now);
   void onRequest(const fleet::StoreRequestFrame& frame, const ConnectionPtr& from);
   void serve(SubmitJobRequest request, ReplyFunction reply);
   void serve(ReadResultsRequest request, ReplyFunction reply);
   void serve(ReadItemRequest request, ReplyFunction reply);
   void serve(EndJobRequest request, ReplyFunction reply);
-  StoreReply overLimit(const WaitingLimit& limit, std::uint64_t job_tokens) const;
+  StoreReply overLimitReply(const WaitingLimit& limit, std::uint64_t job_tokens) const;
   void propose(JobCommand command, ReplyFunction reply);
-  /// Answers from the state once that is as fresh as this call.
+  /// Answers from the state once a quorum has confirmed that the state is as recent as this call.
   void answerFresh(std::function<StoreReply()> answer, ReplyFunction reply);
-  /// Carries frames of orders and reports, to this process itself too.
+  /// Sends a frame with a run order or a run report to a store, which may be this process.
   bool sendToStore(const ReplicaId& to, const fleet::FleetMessage& message);
-  void updateLeading();
+  void updateLeadership();
   void noteChange(const JobId& job);
-  void answerHeldReads(Instant now);
-  void measureProgress(Instant now);
+  void answerPendingReads(Instant now);
+  void measureDrainRate(Instant now);
   void onView(const fleet::FleetView& view, const fleet::FleetChange& change);
-  void takeDirectory(Instant now, const fleet::FleetView& view);
+  void applyDirectory(Instant now, const fleet::FleetView& view);
   std::vector<fleet::StorePresence> presence() const;
-  /// Why a submission of so many bytes finds no room here; empty if it does.
-  std::string_view lacksRoomFor(std::size_t bytes) const;
-  /// Tells the budget what each holder has.
+  /// Returns the cause to refuse a submission of `bytes` bytes for lack of memory; empty if there is room.
+  std::string_view memoryRefusalCause(std::size_t bytes) const;
+  /// Reports the memory use of each consumer to the budget.
   void measureMemory();
   void fillMemoryMetrics(metrics::MetricsPage& page) const;
   void fillMetrics(metrics::MetricsPage& page) const;
-  void fillLineMetrics(metrics::MetricsPage& page) const;
+  void fillQueueMetrics(metrics::MetricsPage& page) const;
   connection::Awaitable<void> tickLoop();
   connection::Awaitable<void> stopOnSignal();
   connection::Awaitable<void> reloadOnSignal();
@@ -118,18 +117,19 @@
   connection::asio::io_context context_;
   fleet::PeerLinks links_;
   fleet::FrameReader frames_;
-  /// Requests that end the engines they run on, as far as any process has seen.
+  /// Requests that crash the engines they run on, as observed by any process.
   fleet::CrashWatch crashes_;
   CrashRelay crash_relay_;
   connection::Timer crash_timer_;
   bool crash_timer_armed_ = false;
-  /// What of the kept crashes was taken, what was looked at last to be kept, and whether a proposal is in flight.
-  std::uint64_t kept_crashes_taken_ = 0;
-  std::uint64_t crashes_looked_at_ = 0;
-  bool keeping_crashes_ = false;
+  /// Version of the kept crashes that was applied last, digest of the observed crashes that were last compared with the
+  /// kept crashes, and whether a proposal is in flight.
+  std::uint64_t kept_crashes_applied_ = 0;
+  std::uint64_t crashes_compared_ = 0;
+  bool crash_proposal_in_flight_ = false;
   JobState* state_ = nullptr;
   memory::MemoryBudget memory_;
-  /// Encoded submissions that are proposed and have no outcome yet.
+  /// Bytes of item bodies in submissions that are proposed and have no outcome yet.
   std::size_t submission_bytes_ = 0;
   std::unique_ptr<fleet::GroupHost> group_;
   std::unique_ptr<JobExecutor> executor_;
@@ -137,31 +137,32 @@
   std::unique_ptr<fleet::FeedClient> feed_;
   std::unique_ptr<connection::FrameServer> frame_server_;
   std::unique_ptr<fleet::MetricsServer> metrics_;
-  /// Names the engines in digests of loads.
+  /// Keys of the engines in load digests.
   request::EngineKeys engine_keys_;
-  /// Loads of the processes that report to this store, and what the leader's executor reports and hears itself.
+  /// Aggregates the loads of the processes that report to this store; `own_load_` reports the load of the leader's
+  /// executor, and receives the digests for the executor.
   LoadAggregator aggregator_;
   fleet::LoadReporter own_load_;
   bool reports_load_ = false;
   /// Places the online requests of the gateways that report to this store.
   PlacementService placement_;
-  /// Connections of gateways whose requests may stand in line here.
+  /// Connections of gateways whose requests may be queued here.
   std::map<const void*, ConnectionPtr> placement_links_;
-  /// The leader that last told of its batch runs, and its term.
-  ReplicaId background_from_;
+  /// The leader that last reported its batch runs, and its term.
+  ReplicaId background_leader_;
   std::uint64_t background_term_ = 0;
-  /// The buckets of the tenants whose limits this store owns, and all that own some.
+  /// Buckets of the tenants whose rate limits this store owns, and all stores that own rate limits.
   request::RateLimitOwner rate_limits_;
   std::vector<ReplicaId> limit_owners_;
   std::shared_ptr<const RouteTable> routes_;
-  /// How fast tokens of items are finished, and those that were when it was last told.
+  /// Rate at which tokens of items are finished, and the number of listed tokens at the last measurement.
   request::DrainMeter finished_tokens_;
   std::uint64_t listed_tokens_ = 0;
   std::uint64_t over_limit_jobs_ = 0;
-  std::list<HeldRead> held_reads_;
+  std::list<PendingRead> pending_reads_;
   std::set<JobId> changed_jobs_;
   Instant next_trim_{};
-  /// When a quorum last confirmed the leadership of this store.
+  /// Time at which a quorum last confirmed the leadership of this store.
   Instant confirmed_at_ = Instant::min();
   fleet::HandlerWatch handlers_;
   connection::SuspensionWatch suspensions_;
--- a/src/process/store/store_program_crashes.cpp
+++ b/src/process/store/store_program_crashes.cpp
@@ -4,7 +4,7 @@
 #include "common/log.hpp"
 #include "process/store/store_program.hpp"
 
-// Requests that end the engines they run on: what the group keeps of them, and what goes to other processes.
+// Requests that crash the engines they run on: the crashes that the group keeps, and the reports to other processes.
 namespace hatchfork::store {
 
 using fleet::ProposalOutcome;
@@ -12,18 +12,18 @@
 
 namespace {
 
-/// News of requests that end engines are passed on together after this long. An engine that ends takes a dozen requests
-/// along; callers come again after 200 ms and more.
-constexpr Duration kCrashNewsDelay = fromMillis(10);
-/// Crashes kept by one command, of some 160 bytes each: logs free the payloads of larger commands, and a store that
-/// starts recalls what its log still holds in memory.
-constexpr std::size_t kMostCrashesOfCommand = 5;
+/// Reports of engine crashes are batched for this long. A crash ends a dozen requests at once; callers retry after 200
+/// ms or later.
+constexpr Duration kCrashReportDelay = fromMillis(10);
+/// Maximum number of crashes in a command, of about 160 bytes each. Logs release the payloads of larger commands, and a
+/// store that starts recovers crashes only from payloads that its log still has in memory.
+constexpr std::size_t kMaxCrashesPerCommand = 5;
 
 }  // namespace
 
-void StoreProgram::tellCrashesSoon() {
+void StoreProgram::scheduleCrashReport() {
   if (std::exchange(crash_timer_armed_, true)) return;
-  crash_timer_.expires_after(kCrashNewsDelay);
+  crash_timer_.expires_after(kCrashReportDelay);
   crash_timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
     crash_timer_armed_ = false;
@@ -31,7 +31,7 @@
   });
 }
 
-void StoreProgram::takeKeptCrashes(Instant now, const std::vector<KeptCrash>& crashes) {
+void StoreProgram::applyKeptCrashes(Instant now, const std::vector<KeptCrash>& crashes) {
   const WallMillis wall = connection::wallNow();
   fleet::CrashNotesFrame notes;
   for (const KeptCrash& crash : crashes) {
@@ -41,46 +41,48 @@
   crash_relay_.takeKept(now, notes);
 }
 
-/// An engine has ended whether or not the group agreed to keep it. Gateways serve before the stores have a leader: 0.4
-/// to 0.8 s in which refused requests were sent up to four times, by the logs of a fleet that was killed as a whole.
-void StoreProgram::recallCrashes(Instant now) {
-  std::size_t recalled = 0;
-  takeKeptCrashes(now, state_->keptCrashes().all());
+/// An engine crash is a fact whether or not its entry is committed. After a restart of the whole fleet, gateways serve
+/// for 0.4 to 0.8 s before the stores have a leader; without this recovery, requests that had been refused as crashing
+/// were sent up to four times in that period.
+void StoreProgram::recoverCrashes(Instant now) {
+  std::size_t recovered = 0;
+  applyKeptCrashes(now, state_->keptCrashes().all());
   group_->visitUnapplied([&](std::string_view command) {
     if (command.find(KeepCrashes::kKind) == std::string_view::npos) return;
     const Result<JobCommand> decoded = decodeTagged<JobCommand>(command);
     const auto* kept = isOk(decoded) ? std::get_if<KeepCrashes>(&valueOf(decoded)) : nullptr;
     if (kept == nullptr) return;
-    recalled += kept->crashes.size();
-    takeKeptCrashes(now, kept->crashes);
+    recovered += kept->crashes.size();
+    applyKeptCrashes(now, kept->crashes);
   });
-  if (recalled > 0) logEvent(LogLevel::kInfo, "crashes_recalled", {{"count", recalled}});
+  if (recovered > 0) logEvent(LogLevel::kInfo, "crashes_recalled", {{"count", recovered}});
 }
 
-/// Where all processes end at once, nobody else remembers: each such request would end three engines more.
-void StoreProgram::keepCrashes(Instant now) {
+/// If all processes end at once, only the group's state preserves the crashes; without it, each crashing request would
+/// crash three more engines.
+void StoreProgram::proposeCrashes(Instant now) {
   const KeptCrashes& kept = state_->keptCrashes();
   const WallMillis wall = connection::wallNow();
-  if (std::exchange(kept_crashes_taken_, kept.version()) != kept.version()) {
-    takeKeptCrashes(now, kept.all());
+  if (std::exchange(kept_crashes_applied_, kept.version()) != kept.version()) {
+    applyKeptCrashes(now, kept.all());
   }
   const std::uint64_t digest = crashes_.digest();
-  if (!executor_->isLeading() || keeping_crashes_ || digest == crashes_looked_at_) return;
+  if (!executor_->isLeading() || crash_proposal_in_flight_ || digest == crashes_compared_) return;
   KeepCrashes command;
   for (const request::CrashRecord& record : crashes_.crashesOfConvicted(now)) {
     if (kept.contains(record.content, record.engine)) continue;
-    if (command.crashes.size() >= kMostCrashesOfCommand) break;
+    if (command.crashes.size() >= kMaxCrashesPerCommand) break;
     command.crashes.push_back({record.content, record.engine, wall - record.age_ms, record.ran_ms});
   }
   if (command.crashes.empty()) {
-    crashes_looked_at_ = digest;
+    crashes_compared_ = digest;
     return;
   }
-  keeping_crashes_ = true;
-  const bool is_complete = command.crashes.size() < kMostCrashesOfCommand;
+  crash_proposal_in_flight_ = true;
+  const bool is_complete = command.crashes.size() < kMaxCrashesPerCommand;
   auto done = [this, digest, is_complete](const ProposalOutcome& outcome) {
-    keeping_crashes_ = false;
-    if (outcome.result == ProposalResult::kApplied && is_complete) crashes_looked_at_ = digest;
+    crash_proposal_in_flight_ = false;
+    if (outcome.result == ProposalResult::kApplied && is_complete) crashes_compared_ = digest;
   };
   group_->propose(encodeTagged(JobCommand(std::move(command))), kProposalTimeout, std::move(done));
 }
--- a/src/process/store/store_program_limits.cpp
+++ b/src/process/store/store_program_limits.cpp
@@ -20,7 +20,7 @@
 }
 
 void StoreProgram::onCreditQuestion(const fleet::CreditQuestionFrame& frame, const ConnectionPtr& from) {
-  // Just started: the answer would only send the gateway away.
+  // Without a view after the start, the answer would wrongly deny ownership and send the gateway to another store.
   if (routes_ == nullptr || limit_owners_.empty()) return;
   const Tenant* tenant = routes_->tenants().find(frame.tenant);
   const bool is_owner = tenant != nullptr && tenant->limits.online_requests_per_second > 0 &&
--- a/src/process/store/store_program_loads.cpp
+++ b/src/process/store/store_program_loads.cpp
@@ -3,7 +3,7 @@
 #include "common/log.hpp"
 #include "process/store/store_program.hpp"
 
-// Loads of processes: those that report here, and those of the executor's own runs.
+// Loads of the processes that report to this store, and of the executor's own runs.
 namespace hatchfork::store {
 
 using connection::monotonicNow;
@@ -33,33 +33,33 @@
   if (const auto others = own_load_.take(now, digest)) executor_->noteOthers(now, *others);
 }
 
-void StoreProgram::tellBackground(const std::vector<request::EngineShare>& shares) {
+void StoreProgram::sendBackgroundLoad(const std::vector<request::EngineShare>& shares) {
   request::LoadDigestWriter whole;
   const fleet::BackgroundLoadFrame frame{settings_.self(), executor_->term(), whole.changes(shares)};
   for (const ReplicaId& peer : aggregator_.peers()) links_.send(peer, frame);
-  onBackground(frame);
+  onBackgroundLoad(frame);
 }
 
-void StoreProgram::onBackground(const fleet::BackgroundLoadFrame& background) {
+void StoreProgram::onBackgroundLoad(const fleet::BackgroundLoadFrame& background) {
   if (background.term < background_term_) return;
   background_term_ = background.term;
-  background_from_ = background.from;
+  background_leader_ = background.from;
   request::LoadDigestReader reader;
   if (reader.take(background.digest, /*is_whole=*/true)) placement_.noteBackground(reader.others(engine_keys_, {}));
 }
 
-void StoreProgram::askToGiveWay(const EngineId& engine) {
-  if (background_from_.empty()) return;
-  if (background_from_ == settings_.self()) {
+void StoreProgram::requestPreemption(const EngineId& engine) {
+  if (background_leader_.empty()) return;
+  if (background_leader_ == settings_.self()) {
     executor_->giveWay(engine);
   } else {
-    links_.send(background_from_, fleet::GiveWayFrame{engine});
+    links_.send(background_leader_, fleet::GiveWayFrame{engine});
   }
 }
 
 bool StoreProgram::sendLoadReport(const ReplicaId& to, const fleet::LoadReportFrame& report) {
   if (to != settings_.self()) return links_.send(to, report);
-  // Posted, so that the reporter is not called back from within its own call.
+  // Posted, so that the reporter is not called back during its own call.
   LoadReceiver receiver{this, [this](const std::string& frame) {
                           connection::asio::post(context_, [this, frame] { onReturnedFrame(frame); });
                         }};
@@ -72,7 +72,7 @@
   if (!leading && !reports_load_) return;
   reports_load_ = leading;
   const std::vector<request::EngineShare> shares = executor_->ownShares(now);
-  if (leading) tellBackground(shares);
+  if (leading) sendBackgroundLoad(shares);
   own_load_.report(now, shares);
 }
 
--- a/src/process/store/store_program_requests.cpp
+++ b/src/process/store/store_program_requests.cpp
@@ -3,7 +3,7 @@
 #include "common/log.hpp"
 #include "process/store/store_program.hpp"
 
-// Requests of gateways, and their answers.
+// Requests of gateways, and the replies.
 namespace hatchfork::store {
 
 using connection::monotonicNow;
@@ -13,13 +13,13 @@
 
 namespace {
 
-constexpr std::size_t kMostResultBytes = 700u << 10;
+constexpr std::size_t kMaxResultBytes = 700u << 10;
 
 StoreReply replyOf(const ProposalOutcome& outcome) {
   if (outcome.result == ProposalResult::kApplied && outcome.reply == kApplyUnknown) return UnknownReply{};
   if (outcome.result == ProposalResult::kApplied) return DoneReply{};
   const bool may_apply = outcome.result == ProposalResult::kUnknown;
-  return UnavailableReply{may_apply, may_apply ? "no quorum in time" : "no leader"};
+  return UnavailableReply{may_apply, may_apply ? "no quorum within the proposal timeout" : "no leader"};
 }
 
 }  // namespace
@@ -36,13 +36,14 @@
   std::visit([&](auto& body) { serve(std::move(body), reply); }, valueOf(request));
 }
 
-std::string_view StoreProgram::lacksRoomFor(std::size_t bytes) const {
-  using memory::MemoryHolder;
-  // What was accepted before must still fit once it has its results.
-  if (state_->expectedBytes() + bytes > memory_.part(MemoryHolder::kState)) return "full";
-  // A large job is taken where nothing else is under way.
+std::string_view StoreProgram::memoryRefusalCause(std::size_t bytes) const {
+  using memory::MemoryConsumer;
+  // Accepted jobs must still fit once they have their results.
+  if (state_->expectedBytes() + bytes > memory_.quota(MemoryConsumer::kState)) return "full";
+  // A job larger than the limit is accepted if no other submission is in progress.
   const bool is_alone = submission_bytes_ == 0;
-  if (!is_alone && submission_bytes_ + bytes > memory_.part(MemoryHolder::kRequests)) return "too much under way";
+  if (!is_alone && submission_bytes_ + bytes > memory_.quota(MemoryConsumer::kRequests))
+    return "too many bytes of submissions in progress";
   return {};
 }
 
@@ -50,22 +51,22 @@
   const JobId id = request.job.id;
   const std::size_t items = request.job.items.size();
   if (const StoredJob* job = state_->find(id)) {
-    // Applied here, so committed: a resend needs no second entry.
+    // The job is applied here and therefore committed: a repeated submission needs no second entry.
     const bool is_own = job->isVisibleTo(request.job.tenant);
     reply(is_own ? StoreReply(DoneReply{}) : StoreReply(UnknownReply{}));
     return;
   }
   const std::size_t body_bytes = bodyBytesOf(request.job);
-  const std::string_view lacking = lacksRoomFor(body_bytes);
-  if (!lacking.empty()) {
+  const std::string_view refusal_cause = memoryRefusalCause(body_bytes);
+  if (!refusal_cause.empty()) {
     logEvent(LogLevel::kWarning, "job_refused",
              {{"job", id.value},
-              {"cause", lacking},
+              {"cause", refusal_cause},
               {"bytes", body_bytes},
               {"held", state_->memoryBytes()},
               {"expected", state_->expectedBytes()},
               {"under_way", submission_bytes_}});
-    reply(UnavailableReply{false, std::string(lacking)});
+    reply(UnavailableReply{false, std::string(refusal_cause)});
     return;
   }
   const WaitingLimit limit = request.limit;
@@ -83,13 +84,13 @@
               {"tokens", tokens},
               {"kept", applied && !over_limit},
               {"over_limit", over_limit}});
-    reply(over_limit ? overLimit(limit, tokens) : replyOf(outcome));
+    reply(over_limit ? overLimitReply(limit, tokens) : replyOf(outcome));
   };
   group_->propose(encodeTagged(JobCommand(std::move(command))), kProposalTimeout, std::move(done));
 }
 
-/// The time to return follows from how fast the route's tokens are finished.
-StoreReply StoreProgram::overLimit(const WaitingLimit& limit, std::uint64_t job_tokens) const {
+/// Derives the time until the job fits from the rate at which tokens are finished.
+StoreReply StoreProgram::overLimitReply(const WaitingLimit& limit, std::uint64_t job_tokens) const {
   const std::uint64_t waiting = state_->waitingTokens(limit);
   const std::uint64_t wanted = waiting + job_tokens;
   const std::uint64_t excess = wanted - std::min(wanted, limit.most_tokens);
@@ -130,10 +131,10 @@
     }
     const bool has_result = request.from < job->results.size();
     if (has_result || request.wait_ms == 0 || job->isFinished()) {
-      reply(resultsFrom(*job, request.from, kMostResultBytes));
+      reply(resultsFrom(*job, request.from, kMaxResultBytes));
       return;
     }
-    held_reads_.push_back(HeldRead{request, monotonicNow() + fromMillis(request.wait_ms), reply});
+    pending_reads_.push_back(PendingRead{request, monotonicNow() + fromMillis(request.wait_ms), reply});
   });
 }
 
@@ -148,24 +149,24 @@
   answerFresh(answer, std::move(reply));
 }
 
-void StoreProgram::answerHeldReads(Instant now) {
-  std::vector<HeldRead> due;
-  for (auto held = held_reads_.begin(); held != held_reads_.end();) {
-    const StoredJob* job = state_->find(held->request.job);
-    const bool has_result = job != nullptr && (held->request.from < job->results.size() || job->isFinished());
-    if (has_result || now >= held->deadline || job == nullptr) {
-      due.push_back(std::move(*held));
-      held = held_reads_.erase(held);
+void StoreProgram::answerPendingReads(Instant now) {
+  std::vector<PendingRead> due;
+  for (auto pending = pending_reads_.begin(); pending != pending_reads_.end();) {
+    const StoredJob* job = state_->find(pending->request.job);
+    const bool has_result = job != nullptr && (pending->request.from < job->results.size() || job->isFinished());
+    if (has_result || now >= pending->deadline || job == nullptr) {
+      due.push_back(std::move(*pending));
+      pending = pending_reads_.erase(pending);
     } else {
-      ++held;
+      ++pending;
     }
   }
-  for (const HeldRead& held : due) {
-    const StoredJob* job = state_->find(held.request.job);
+  for (const PendingRead& pending : due) {
+    const StoredJob* job = state_->find(pending.request.job);
     if (job == nullptr) {
-      held.reply(UnavailableReply{false, "the job is being replaced"});
+      pending.reply(UnavailableReply{false, "the job is being replaced"});
     } else {
-      held.reply(resultsFrom(*job, held.request.from, kMostResultBytes));
+      pending.reply(resultsFrom(*job, pending.request.from, kMaxResultBytes));
     }
   }
 }
--- a/tests/process/store/job_snapshot_test.cpp
+++ b/tests/process/store/job_snapshot_test.cpp
@@ -25,7 +25,7 @@
  public:
   explicit RandomJobs(std::uint64_t seed) : random_(seed) {}
 
-  bool isTrueFor(int percent) { return draw(100) < percent; }
+  bool chance(int percent) { return draw(100) < percent; }
   int draw(int below) { return static_cast<int>(random_() % static_cast<std::uint64_t>(below)); }
 
   void applyOne(JobState& state) { state.apply(1, encodeTagged(command(state))); }
@@ -37,7 +37,7 @@
     switch (draw(8)) {
       case 0:
       case 1:
-        return SubmitJob{submission(id), WaitingLimit{"a.example", "/x/", isTrueFor(20) ? 40u : 0u, TenantId()},
+        return SubmitJob{submission(id), WaitingLimit{"a.example", "/x/", chance(20) ? 40u : 0u, TenantId()},
                          random_()};
       case 2:
       case 3:
@@ -52,17 +52,17 @@
     }
   }
 
-  /// Follows on what is kept, mostly.
+  /// Usually continues the stored progress.
   ItemProgress progress(const JobState& state, const JobId& id, const std::string& item) {
     ItemProgress made{id, item, 0, 0, 1, 7, text(), 0, {}};
     const StoredJob* job = state.find(id);
-    if (job != nullptr && job->progress.contains(item) && isTrueFor(90)) {
+    if (job != nullptr && job->progress.contains(item) && chance(90)) {
       const ItemRunProgress& kept = job->progress.at(item);
       made.after_event = kept.last_event;
       made.after_chain = kept.chain;
       made.last_event = kept.last_event + 1;
     }
-    if (isTrueFor(20)) made.failed_runs = {random_()};
+    if (chance(20)) made.failed_runs = {random_()};
     return made;
   }
 
@@ -79,8 +79,8 @@
     return made;
   }
 
-  /// Also as long as to fill a piece.
-  std::string text() { return std::string(isTrueFor(5) ? 40000 : draw(20), static_cast<char>('a' + draw(26))); }
+  /// Sometimes long enough to fill a piece of a snapshot.
+  std::string text() { return std::string(chance(5) ? 40000 : draw(20), static_cast<char>('a' + draw(26))); }
 
   std::mt19937_64 random_;
 };
@@ -95,34 +95,34 @@
 
 }  // namespace
 
-TEST_CASE("a snapshot in pieces stands for the moment it began, whatever is applied meanwhile", "[store][snapshot]") {
+TEST_CASE("a snapshot in pieces holds the state at its start, whatever is applied meanwhile", "[store][snapshot]") {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     INFO("seed " << seed);
     RandomJobs jobs(seed);
     JobState state;
     for (int i = 0; i < kCommands; ++i) jobs.applyOne(state);
-    const std::string wanted = state.snapshot();
-    const std::uint64_t wanted_bytes = state.heldBytes();
+    const std::string expected = state.snapshot();
+    const std::uint64_t expected_bytes = state.heldBytes();
     state.beginSnapshot();
     std::vector<std::string> pieces;
     while (true) {
-      while (jobs.isTrueFor(80)) jobs.applyOne(state);
+      while (jobs.chance(80)) jobs.applyOne(state);
       std::optional<std::string> piece = state.nextSnapshotPiece();
       if (!piece) break;
       pieces.push_back(std::move(*piece));
     }
     REQUIRE(state.snapshotBytesHeld() == 0);
     const JobState other = restored(pieces);
-    REQUIRE(other.snapshot() == wanted);
-    REQUIRE(other.heldBytes() == wanted_bytes);
-    // What was applied meanwhile is not lost to the state itself.
+    REQUIRE(other.snapshot() == expected);
+    REQUIRE(other.heldBytes() == expected_bytes);
+    // The state itself keeps all commands applied meanwhile.
     JobState copy;
     REQUIRE(isOk(copy.restore(state.snapshot())));
     REQUIRE(copy.heldBytes() == state.heldBytes());
   }
 }
 
-TEST_CASE("the pieces of a snapshot joined are one text that is read as a whole", "[store][snapshot][upgrade]") {
+TEST_CASE("the joined pieces of a snapshot can be restored as a whole", "[store][snapshot][upgrade]") {
   RandomJobs jobs(1);
   JobState state;
   for (int i = 0; i < kCommands; ++i) jobs.applyOne(state);
@@ -132,7 +132,7 @@
   JobState whole;
   REQUIRE(isOk(whole.restore(joined)));
   REQUIRE(whole.snapshot() == state.snapshot());
-  // As an older program stores what it was sent: cut anywhere.
+  // An older release stores a received snapshot split at any byte.
   JobState cut;
   cut.beginRestore();
   for (std::size_t offset = 0; offset < joined.size(); offset += 100) {
@@ -142,7 +142,7 @@
   REQUIRE(cut.snapshot() == state.snapshot());
 }
 
-TEST_CASE("a snapshot without its end is refused", "[store][snapshot]") {
+TEST_CASE("a snapshot without its tail is refused", "[store][snapshot]") {
   JobState state;
   state.beginSnapshot();
   JobState other;
@@ -151,7 +151,7 @@
   REQUIRE_FALSE(isOk(other.endRestore()));
 }
 
-TEST_CASE("what a snapshot under way keeps of changed jobs goes out first", "[store][snapshot]") {
+TEST_CASE("a snapshot in progress writes changed jobs first", "[store][snapshot]") {
   JobState state;
   for (int number = 0; number < 20; ++number) {
     JobSubmission job;
--- a/tests/process/store/job_state_test.cpp
+++ b/tests/process/store/job_state_test.cpp
@@ -64,7 +64,7 @@
   JobState state;
   apply(state, SubmitJob{job("j", 2)});
   REQUIRE(apply(state, progress("j", 0, 0, 3, "one")) == "changed");
-  // The same again, a gap and a step back change nothing.
+  // A duplicate, a gap and a step back change nothing.
   REQUIRE(apply(state, progress("j", 0, 0, 3, "one")) == "unchanged");
   REQUIRE(apply(state, progress("j", 0, 5, 9, "x")) == "unchanged");
   REQUIRE(apply(state, progress("j", 0, 3, 2, "x")) == "unchanged");
@@ -78,7 +78,7 @@
   REQUIRE(state.find(JobId("j"))->results[0].text == "one\ntwo\nthree");
   REQUIRE(state.find(JobId("j"))->progress.empty());
   REQUIRE(state.heldBytes() == 3 + 13);
-  // A listed item has no progress any more.
+  // The progress of a listed item is ignored.
   REQUIRE(apply(state, progress("j", 0, 0, 3, "one")) == "unchanged");
 }
 
@@ -112,7 +112,7 @@
   REQUIRE(state.find(JobId("j"))->progress.at("item-0").failures == 2);
 }
 
-TEST_CASE("a failed run counts once, whoever tells it, also after a snapshot", "[store]") {
+TEST_CASE("a failed run counts once, whichever leader reports it, also after a snapshot", "[store]") {
   JobState state;
   apply(state, SubmitJob{job("j", 1)});
   SaveProgress failed = progress("j", 0, 0, 0, "");
@@ -120,7 +120,7 @@
   failed.items[0].failures = 1;
   REQUIRE(apply(state, failed) == "changed");
   REQUIRE(apply(state, failed) == "unchanged");
-  // Another leader tells it beside one more, and knows of none before.
+  // Another leader reports the same failed run and a second one, with a count that includes no earlier failure.
   failed.items[0].failed_runs = {7, 9};
   REQUIRE(apply(state, failed) == "changed");
   REQUIRE(state.find(JobId("j"))->progress.at("item-0").failures == 2);
@@ -132,7 +132,7 @@
   REQUIRE_FALSE(restored.isFailureCounted(JobId("j"), "item-0", 8));
 }
 
-TEST_CASE("a whole text goes before kept progress", "[store]") {
+TEST_CASE("a whole text replaces kept progress", "[store]") {
   JobState state;
   apply(state, SubmitJob{job("j", 1)});
   apply(state, progress("j", 0, 0, 3, "one"));
@@ -141,7 +141,7 @@
   REQUIRE(state.heldBytes() == 5);
 }
 
-TEST_CASE("a page of results has a bound but at least one result", "[store]") {
+TEST_CASE("a page of results is bounded but has at least one result", "[store]") {
   JobState state;
   apply(state, SubmitJob{job("j", 3)});
   for (int i = 0; i < 3; ++i) apply(state, result("j", i, std::string(400, 'x')));
@@ -160,7 +160,7 @@
   REQUIRE(resultsFrom(*state.find(JobId("j")), 0, 1000).results.size() == 1);
 }
 
-TEST_CASE("a snapshot restores jobs, results and what is open", "[store]") {
+TEST_CASE("a snapshot restores jobs, results and open items", "[store]") {
   JobState state;
   apply(state, SubmitJob{job("j", 3)});
   apply(state, SubmitJob{job("k", 1)});
@@ -178,7 +178,7 @@
   REQUIRE_FALSE(isOk(other.restore("rubbish")));
 }
 
-TEST_CASE("dropped jobs are forgotten with their bytes", "[store]") {
+TEST_CASE("dropped jobs release their bytes", "[store]") {
   JobState state;
   apply(state, SubmitJob{job("j", 3)});
   apply(state, result("j", 1, "done"));
@@ -213,29 +213,29 @@
 
 }  // namespace
 
-TEST_CASE("a job that does not fit beside what waits on its route is refused whole", "[store][limit]") {
+TEST_CASE("a job that exceeds the limit of waiting tokens on its route is refused as a whole", "[store][limit]") {
   JobState state;
   REQUIRE(apply(state, limited("j", 3, 50, 1)) == "changed");
   REQUIRE(state.waitingTokens(kRoute) == 30);
   REQUIRE(apply(state, limited("k", 3, 50, 2)) == "over_limit");
   REQUIRE(state.find(JobId("k")) == nullptr);
-  // What just fits is taken, and the limit counts all submitters of the route together.
+  // A job that just fits is accepted, and the limit counts all submitters of the route together.
   REQUIRE(apply(state, limited("l", 2, 50, 3)) == "changed");
   REQUIRE(apply(state, limited("m", 1, 50, 4)) == "over_limit");
-  // A limit that was raised holds at once, and so does one that is far below what waits; zero is none.
+  // A raised limit applies at once, and so does a limit far below the waiting tokens; zero means no limit.
   REQUIRE(apply(state, limited("n", 1, 60, 5)) == "changed");
   REQUIRE(apply(state, limited("o", 1, 10, 6)) == "over_limit");
   REQUIRE(apply(state, limited("p", 9, 0, 7)) == "changed");
 }
 
-TEST_CASE("a job that was kept is never refused when it comes again", "[store][limit]") {
+TEST_CASE("a stored job is never refused when it is submitted again", "[store][limit]") {
   JobState state;
   REQUIRE(apply(state, limited("j", 3, 30, 1)) == "changed");
   REQUIRE(apply(state, limited("j", 3, 30, 2)) == "unchanged");
   REQUIRE(state.waitingTokens(kRoute) == 30);
 }
 
-TEST_CASE("tokens are given back when items end and when their job is ended", "[store][limit]") {
+TEST_CASE("waiting tokens are released when items end and when their job is ended", "[store][limit]") {
   JobState state;
   apply(state, limited("j", 3, 0, 1));
   apply(state, result("j", 1, "x"));
@@ -248,7 +248,7 @@
   REQUIRE(state.waitingTokens() == 0);
 }
 
-TEST_CASE("other routes' jobs count for nothing", "[store][limit]") {
+TEST_CASE("jobs of other routes do not count towards the limit", "[store][limit]") {
   JobState state;
   SubmitJob other = limited("j", 9, 0, 1);
   other.job.path = "/y/";
@@ -258,7 +258,7 @@
   REQUIRE(state.waitingTokens(WaitingLimit{"a.example", "/y/"}) == 90);
 }
 
-TEST_CASE("a refusal holds for every copy of the same try, a later try is judged anew", "[store][limit]") {
+TEST_CASE("a refusal applies to every copy of the same attempt, a later attempt is checked again", "[store][limit]") {
   JobState state;
   apply(state, limited("j", 3, 30, 1));
   REQUIRE(apply(state, limited("k", 1, 30, 2)) == "over_limit");
@@ -270,7 +270,7 @@
   REQUIRE(apply(state, limited("k", 1, 30, 3)) == "changed");
 }
 
-TEST_CASE("a restored state counts what waits as the first one did", "[store][limit]") {
+TEST_CASE("a restored state counts the same waiting tokens", "[store][limit]") {
   JobState state;
   apply(state, limited("j", 5, 0, 1));
   apply(state, result("j", 2, "x"));
@@ -292,7 +292,7 @@
 
 }  // namespace
 
-TEST_CASE("each tenant has the limit of waiting tokens for itself", "[store][limit][tenant]") {
+TEST_CASE("the limit of waiting tokens applies to each tenant separately", "[store][limit][tenant]") {
   JobState state;
   REQUIRE(apply(state, ofTenant("crew", "j", 30)) == "changed");
   REQUIRE(apply(state, ofTenant("office", "k", 30)) == "changed");
@@ -314,13 +314,13 @@
   REQUIRE(apply(restored, EndJob{JobId("j"), TenantId("crew")}) == "changed");
 }
 
-TEST_CASE("a job from before there were tenants is seen by all", "[store][tenant]") {
+TEST_CASE("a job without a tenant is visible to all tenants", "[store][tenant]") {
   JobState state;
   apply(state, SubmitJob{job("j", 1)});
   REQUIRE(state.find(JobId("j"))->isVisibleTo(TenantId("crew")));
 }
 
-TEST_CASE("ends of engines are kept once each, in snapshots too, and bounded", "[store][crash]") {
+TEST_CASE("engine crashes are kept once each, in snapshots too, and bounded", "[store][crash]") {
   JobState state;
   const auto keep = [&state](const std::string& content, const std::string& engine, WallMillis ended_at) {
     const KeptCrash crash{request::RequestFingerprint(content), EngineId(engine), ended_at, 30};
--- a/tests/process/store/placement_line_test.cpp
+++ b/tests/process/store/placement_line_test.cpp
@@ -39,9 +39,9 @@
   return notes;
 }
 
-/// A zone of engines with one slot each that tell their pace, and what its placer answers.
+/// Fixture: a zone of engines with one slot each that report their speed, and the answers of its placement service.
 struct Zone {
-  /// `held`: how long the first requests held their slots. `engines_zone`: where the engines are.
+  /// `held`: time for which the first requests occupied their slots. `engines_zone`: zone of the engines.
   explicit Zone(int engines, request::LoadFeatures features = {}, Duration held = fromMillis(600),
                 ZoneId engines_zone = kZone)
       : service(
@@ -59,7 +59,7 @@
     service.setAnswerHandler([this](const void* connection, const fleet::PlacementAnswer& answer) {
       answers.emplace_back(connection, answer);
     });
-    // One request at each engine has told its pace and how long it holds a slot.
+    // One request at each engine reports the speed, and how long a request occupies a slot.
     for (int i = 0; i < engines; ++i) {
       const std::uint64_t number = 1000 + static_cast<std::uint64_t>(i);
       service.take(at(-700), question("g0", number), &kFirst);
@@ -72,8 +72,8 @@
     for (int i = 0; i < engines; ++i) service.take(at(0), ended("g0", 1000 + static_cast<std::uint64_t>(i)), &kFirst);
   }
 
-  /// The last answer that was sent to a number by itself.
-  std::optional<fleet::PlacementAnswer> told(std::uint64_t number) const {
+  /// Returns the last deferred answer for a request number.
+  std::optional<fleet::PlacementAnswer> sentTo(std::uint64_t number) const {
     std::optional<fleet::PlacementAnswer> last;
     for (const auto& [connection, answer] : answers) {
       if (answer.number == number) last = answer;
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-TEST_CASE("a request without a place stands in line and gets the next one that falls free", "[placement][line]") {
+TEST_CASE("a request without a free slot is queued and gets the next released slot", "[placement][line]") {
   Zone zone(4);
   for (std::uint64_t number = 1; number <= 4; ++number) {
     REQUIRE_FALSE(zone.service.take(at(1), question("g1", number), &kFirst).engine.empty());
@@ -96,35 +96,37 @@
   REQUIRE(first.stands());
   REQUIRE(first.position == 0);
   REQUIRE(zone.service.take(at(3), question("g2", 6, 500), &kSecond).position == 1);
-  REQUIRE(zone.service.standing() == 2);
+  REQUIRE(zone.service.queuedRequests() == 2);
   zone.service.take(at(10), ended("g1", 2), &kFirst);
-  REQUIRE_FALSE(zone.told(5)->engine.empty());
-  REQUIRE_FALSE(zone.told(6));
+  REQUIRE_FALSE(zone.sentTo(5)->engine.empty());
+  REQUIRE_FALSE(zone.sentTo(6));
   zone.service.take(at(20), ended("g1", 3), &kFirst);
-  REQUIRE_FALSE(zone.told(6)->engine.empty());
+  REQUIRE_FALSE(zone.sentTo(6)->engine.empty());
   REQUIRE(zone.answers.back().first == &kSecond);
-  REQUIRE(zone.service.standing() == 0);
-  REQUIRE(zone.service.counters().placed_at_full == 0);
+  REQUIRE(zone.service.queuedRequests() == 0);
+  REQUIRE(zone.service.counters().placed_without_free_slot == 0);
 }
 
-/// Symptom: 292 of 6,408 look-ups of a service of short answers refused and 960 late, while its engines were a quarter
-/// full. They stood in line, since an engine with one slow answer was not worth its detour.
-TEST_CASE("requests for short answers go to engines' own queues and stand in no line", "[placement][line]") {
+/// Guards against queueing requests for short answers here: an engine with one slow answer was not worth the detour, so
+/// they waited although the engines were at a quarter of their capacity; of 6,408 requests 292 were refused and 960
+/// late.
+TEST_CASE("requests for short answers go to the engines' own queues", "[placement][line]") {
   Zone zone(2, {}, fromMillis(1));
   for (std::uint64_t number = 1; number <= 6; ++number) {
     REQUIRE_FALSE(zone.service.take(at(1), question("g1", number), &kFirst).engine.empty());
   }
-  REQUIRE(zone.service.standing() == 0);
+  REQUIRE(zone.service.queuedRequests() == 0);
 }
 
-TEST_CASE("a zone without engines of the service has no line", "[placement][line]") {
+TEST_CASE("a zone without engines of the service has no queue", "[placement][line]") {
   Zone zone(1, {}, fromMillis(600), ZoneId("z2"));
   REQUIRE_FALSE(zone.service.take(at(1), question("g1", 1), &kFirst).engine.empty());
   REQUIRE_FALSE(zone.service.take(at(2), question("g1", 2), &kFirst).engine.empty());
-  REQUIRE(zone.service.standing() == 0);
+  REQUIRE(zone.service.queuedRequests() == 0);
 }
 
-TEST_CASE("who can't be in time is refused: at once, or when its time has passed", "[placement][line]") {
+TEST_CASE("a request that cannot meet its deadline is refused on arrival, or when its deadline has passed in the queue",
+          "[placement][line]") {
   Zone zone(2);
   zone.service.take(at(1), question("g1", 1), &kFirst);
   zone.service.take(at(1), question("g1", 2), &kFirst);
@@ -133,23 +135,24 @@
   REQUIRE(refused.isRefused());
   REQUIRE(refused.refused_for_ms > 100);
   zone.service.tick(at(401));
-  REQUIRE(zone.service.standing() == 1);
+  REQUIRE(zone.service.queuedRequests() == 1);
   zone.service.tick(at(403));
-  REQUIRE(zone.told(3)->isRefused());
-  REQUIRE(zone.service.standing() == 0);
+  REQUIRE(zone.sentTo(3)->isRefused());
+  REQUIRE(zone.service.queuedRequests() == 0);
 }
 
-TEST_CASE("a request that may not be refused is sent though it is late", "[placement][line]") {
+TEST_CASE("a request that may not be refused is placed although it is late", "[placement][line]") {
   Zone zone(1);
   zone.service.take(at(1), question("g1", 1), &kFirst);
   fleet::PlacementQuestion again = question("g1", 2, 100);
   again.terms->may_be_refused = false;
   REQUIRE(zone.service.take(at(2), again, &kFirst).stands());
   zone.service.tick(at(103));
-  REQUIRE_FALSE(zone.told(2)->engine.empty());
+  REQUIRE_FALSE(zone.sentTo(2)->engine.empty());
 }
 
-TEST_CASE("gateways of an older release, and services of equal engines, have no line", "[placement][line]") {
+TEST_CASE("requests of gateways of an older release, and of services with equal engines, are not queued",
+          "[placement][line]") {
   Zone zone(1);
   zone.service.take(at(1), question("g1", 1), &kFirst);
   fleet::PlacementQuestion old = question("g1", 2);
@@ -169,7 +172,7 @@
   REQUIRE_FALSE(even.service.take(at(2), question("g1", 2), &kFirst).engine.empty());
 }
 
-TEST_CASE("a request whose gateway has gone, or waits no longer, leaves the line", "[placement][line]") {
+TEST_CASE("a request whose gateway has disconnected or withdrawn it leaves the queue", "[placement][line]") {
   Zone zone(1);
   zone.service.take(at(1), question("g1", 1), &kFirst);
   for (std::uint64_t number = 2; number <= 5; ++number) {
@@ -180,34 +183,34 @@
   gave_up.node = "g1";
   gave_up.ended = {fleet::EndedRequest{2, EngineVerdict::kNeutral, {}}};
   zone.service.take(at(3), gave_up, &kFirst);
-  REQUIRE(zone.service.standing() == 3);
+  REQUIRE(zone.service.queuedRequests() == 3);
   fleet::PlacementNotes whole;
   whole.node = "g2";
   whole.is_whole = true;
   whole.present = {fleet::PlacedRequest{5, {}, 0, false}};
   zone.service.take(at(4), whole, &kSecond);
-  REQUIRE(zone.service.standing() == 2);
+  REQUIRE(zone.service.queuedRequests() == 2);
   zone.service.drop(at(5), &kFirst);
-  // The place of the gateway that has gone is the next one's.
-  REQUIRE(zone.service.standing() == 0);
-  REQUIRE_FALSE(zone.told(5)->engine.empty());
+  // The slot of the disconnected gateway goes to the next request.
+  REQUIRE(zone.service.queuedRequests() == 0);
+  REQUIRE_FALSE(zone.sentTo(5)->engine.empty());
 }
 
-TEST_CASE("a place that was given to a gateway that had given up falls free again", "[placement][line]") {
+TEST_CASE("a slot assigned to a gateway that has withdrawn the request is released", "[placement][line]") {
   Zone zone(1);
   zone.service.take(at(1), question("g1", 1), &kFirst);
   zone.service.take(at(2), question("g1", 2, 5000), &kFirst);
   zone.service.take(at(2), question("g2", 3, 5000), &kSecond);
   zone.service.take(at(10), ended("g1", 1), &kFirst);
-  REQUIRE_FALSE(zone.told(2)->engine.empty());
+  REQUIRE_FALSE(zone.sentTo(2)->engine.empty());
   fleet::PlacementNotes gave_up;
   gave_up.node = "g1";
   gave_up.ended = {fleet::EndedRequest{2, EngineVerdict::kNeutral, {}}};
   zone.service.take(at(11), gave_up, &kFirst);
-  REQUIRE_FALSE(zone.told(3)->engine.empty());
+  REQUIRE_FALSE(zone.sentTo(3)->engine.empty());
 }
 
-TEST_CASE("gateways with requests in line hear a sign of life many times a second", "[placement][line]") {
+TEST_CASE("gateways with queued requests receive a heartbeat many times a second", "[placement][line]") {
   Zone zone(1);
   zone.service.take(at(1), question("g1", 1), &kFirst);
   zone.service.take(at(2), question("g1", 2, 5000), &kFirst);
@@ -219,25 +222,25 @@
 
 namespace {
 
-struct Jump {
+struct JumpOutcome {
   std::size_t requests = 0;
   std::size_t late = 0;
   std::size_t refused = 0;
 };
 
-/// A jump of 1.8 at engines of three speeds; each request is placed once or refused.
-Jump playJump(bool stands_in_line, std::uint64_t seed) {
+/// Simulates a jump of the load by a factor of 1.8 at engines of three speeds; each request is placed once or refused.
+JumpOutcome simulateLoadJump(bool uses_queue, std::uint64_t seed) {
   constexpr double kEndMs = 12000;
   constexpr double kObjectiveMs = 300;
   constexpr double kLinkMs = 2;
   request::replay::VirtualTime time;
   request::replay::UnevenEngines engines(time, {}, seed);
   request::LoadFeatures features;
-  features.zone_line = stands_in_line;
+  features.zone_line = uses_queue;
   PlacementService service(
       seed, kZone, [](const EngineId&) {}, features);
   service.takeEngines(time.now(), wholeListOf(engines.records(kService, kZone)));
-  Jump played;
+  JumpOutcome played;
   std::map<std::uint64_t, double> asked;
   std::set<std::uint64_t> concluded;
   const auto conclude = [&](const fleet::PlacementAnswer& answer) {
@@ -268,13 +271,13 @@
   service.setAnswerHandler([&](const void*, const fleet::PlacementAnswer& answer) { conclude(answer); });
   for (double tick = 0; tick < kEndMs + 2000; tick += 50) {
     time.at(tick, [&] {
-      service.noteOthers(time.now(), {});
+      service.notePeerLoad(time.now(), {});
       service.tick(time.now());
     });
   }
-  const request::replay::Load wave{{0, 100}, {3400, 255}, {5800, 100}, {9200, 255 * 1.8}, {11600, 100}};
+  const request::replay::Load cycle{{0, 100}, {3400, 255}, {5800, 100}, {9200, 255 * 1.8}, {11600, 100}};
   std::uint64_t number = 0;
-  for (const double when : request::replay::arrivals(wave, kEndMs, seed)) {
+  for (const double when : request::replay::arrivals(cycle, kEndMs, seed)) {
     asked[++number] = when;
     time.at(when, [&, asking = number] {
       ++played.requests;
@@ -283,19 +286,20 @@
   }
   time.run();
   REQUIRE(concluded.size() == played.requests);
-  REQUIRE(service.standing() == 0);
+  REQUIRE(service.queuedRequests() == 0);
   return played;
 }
 
 }  // namespace
 
-TEST_CASE("a jump of 1.8 at engines of three speeds: with a line few are late, and few refused", "[placement][line]") {
+TEST_CASE("a load jump of 1.8 at engines of three speeds: with the queue few requests are late or refused",
+          "[placement][line]") {
   std::size_t late_in_queues = 0;
   std::size_t late = 0;
   std::size_t refused = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    late_in_queues += playJump(false, seed).late;
-    const Jump played = playJump(true, seed);
+    late_in_queues += simulateLoadJump(false, seed).late;
+    const JumpOutcome played = simulateLoadJump(true, seed);
     late += played.late;
     refused += played.refused;
   }
--- a/tests/process/store/placement_service_test.cpp
+++ b/tests/process/store/placement_service_test.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST_CASE("each slot is given away once, whichever gateways ask", "[placement]") {
+TEST_CASE("each slot is assigned once, whichever gateways request it", "[placement]") {
   PlacementService service(1, ZoneId("z1"), [](const EngineId&) {});
   service.takeEngines(at(0), wholeListOf(engines(5, 3)));
   std::map<EngineId, int> taken;
@@ -51,12 +51,12 @@
     ++taken[answer.engine];
   }
   for (const auto& [engine, count] : taken) REQUIRE(count == 3);
-  REQUIRE(service.counters().placed_at_full == 0);
+  REQUIRE(service.counters().placed_without_free_slot == 0);
   service.take(at(1), question("g1", 99), &kFirst);
-  REQUIRE(service.counters().placed_at_full == 1);
+  REQUIRE(service.counters().placed_without_free_slot == 1);
 }
 
-TEST_CASE("a slot whose request has ended is the next one's", "[placement]") {
+TEST_CASE("a slot whose request has ended goes to the next request", "[placement]") {
   PlacementService service(1, ZoneId("z1"), [](const EngineId&) {});
   service.takeEngines(at(0), wholeListOf(engines(3, 1)));
   EngineId freed;
@@ -68,7 +68,7 @@
   REQUIRE(service.take(at(6), question("g2", 1), &kSecond).engine == freed);
 }
 
-TEST_CASE("an engine that failed one gateway is left out for all", "[placement]") {
+TEST_CASE("an engine that failed for one gateway is excluded for all", "[placement]") {
   PlacementService service(1, ZoneId("z1"), [](const EngineId&) {});
   service.takeEngines(at(0), wholeListOf(engines(4, 6)));
   const EngineId failed = service.take(at(0), question("g1", 1), &kFirst).engine;
@@ -78,7 +78,7 @@
   }
 }
 
-TEST_CASE("a gateway whose connection ends gives its slots back", "[placement]") {
+TEST_CASE("the slots of a gateway whose connection ends are released", "[placement]") {
   PlacementService service(1, ZoneId("z1"), [](const EngineId&) {});
   service.takeEngines(at(0), wholeListOf(engines(1, 2)));
   service.take(at(0), question("g1", 1), &kFirst);
@@ -89,7 +89,7 @@
   REQUIRE(service.take(at(13), question("g2", 2), &kSecond).running == 1);
 }
 
-TEST_CASE("a silent gateway is forgotten", "[placement]") {
+TEST_CASE("a silent gateway expires", "[placement]") {
   PlacementService service(1, ZoneId("z1"), [](const EngineId&) {});
   service.takeEngines(at(0), wholeListOf(engines(1, 2)));
   service.take(at(0), question("g1", 1), &kFirst);
@@ -100,14 +100,14 @@
   REQUIRE(service.take(at(2700), question("g2", 1), &kSecond).running == 0);
 }
 
-TEST_CASE("a service that has just started learns what gateways have, and what they have no more", "[placement]") {
+TEST_CASE("a service that has just started learns which requests gateways have, and which have ended", "[placement]") {
   PlacementService service(1, ZoneId("z1"), [](const EngineId&) {});
   service.takeEngines(at(0), wholeListOf(engines(2, 4)));
   fleet::PlacementNotes whole{"g1", true, {}, {}, {}};
   for (std::uint64_t number = 1; number <= 4; ++number) {
     whole.present.push_back(fleet::PlacedRequest{number, EngineId("e0"), 100, true});
   }
-  // The question of another request is in flight.
+  // The placement of another request is in flight.
   whole.present.push_back(fleet::PlacedRequest{5, {}, 0, false});
   service.take(at(0), whole, &kFirst);
   for (std::uint64_t number = 1; number <= 4; ++number) {
@@ -118,7 +118,7 @@
   REQUIRE(service.take(at(3), question("g2", 5), &kSecond).running == 0);
 }
 
-TEST_CASE("engines that a gateway can't reach are not given to it", "[placement]") {
+TEST_CASE("engines that a gateway cannot reach are not assigned to its requests", "[placement]") {
   PlacementService service(1, ZoneId("z1"), [](const EngineId&) {});
   service.takeEngines(at(0), wholeListOf(engines(2, 6)));
   fleet::PlacementQuestion asked = question("g1", 1);
@@ -129,7 +129,7 @@
   REQUIRE(service.counters().unplaced == 1);
 }
 
-TEST_CASE("a full zone sends requests to engines of other zones, as far as their load is known", "[placement]") {
+TEST_CASE("a full zone sends requests to engines of other zones, as far as their load is reported", "[placement]") {
   PlacementService service(1, ZoneId("z1"), [](const EngineId&) {});
   std::vector<EngineRecord> all = engines(1, 1);
   EngineRecord remote = all.front();
@@ -142,22 +142,21 @@
   REQUIRE(service.take(at(0), question("g1", 2), &kFirst).engine == EngineId("remote"));
 }
 
-TEST_CASE("an online request takes a free slot, or else one that a batch run gives up, before it waits",
-          "[placement]") {
-  std::vector<EngineId> gave_way;
-  PlacementService service(1, ZoneId("z1"), [&](const EngineId& engine) { gave_way.push_back(engine); });
+TEST_CASE("an online request takes a free slot, or else preempts a batch run, before it waits", "[placement]") {
+  std::vector<EngineId> preempted;
+  PlacementService service(1, ZoneId("z1"), [&](const EngineId& engine) { preempted.push_back(engine); });
   service.takeEngines(at(0), wholeListOf(engines(2, 2)));
   service.noteBackground(
       {request::EngineShare{EngineId("e0"), 2, 0, 0}, request::EngineShare{EngineId("e1"), 1, 0, 0}});
   REQUIRE(service.take(at(0), question("g1", 1), &kFirst).engine == EngineId("e1"));
-  REQUIRE(gave_way.empty());
+  REQUIRE(preempted.empty());
   for (std::uint64_t number = 2; number <= 4; ++number) {
     REQUIRE(service.take(at(0), question("g1", number), &kFirst).running < 2);
   }
-  REQUIRE(gave_way.size() == 3);
-  REQUIRE(std::count(gave_way.begin(), gave_way.end(), EngineId("e0")) == 2);
-  // Nothing is left that could give way.
+  REQUIRE(preempted.size() == 3);
+  REQUIRE(std::count(preempted.begin(), preempted.end(), EngineId("e0")) == 2);
+  // No batch run is left to preempt.
   service.take(at(0), question("g1", 5), &kFirst);
-  REQUIRE(gave_way.size() == 3);
-  REQUIRE(service.counters().placed_at_full == 1);
+  REQUIRE(preempted.size() == 3);
+  REQUIRE(service.counters().placed_without_free_slot == 1);
 }
--- a/tests/process/store/store_group_memory_test.cpp
+++ b/tests/process/store/store_group_memory_test.cpp
@@ -18,14 +18,14 @@
 namespace {
 
 constexpr std::size_t kMegabyte = 1 << 20;
-/// What a replica may need beside its state while it takes or takes up a snapshot.
-constexpr std::size_t kRoomBesideState = 8 * kMegabyte;
+/// Maximum memory of a replica besides its state while it writes or restores a snapshot.
+constexpr std::size_t kMemoryBesidesState = 8 * kMegabyte;
 constexpr int kJobs = 60;
 constexpr int kItemsPerJob = 70;
 constexpr int kEntriesBeforeSnapshot = 2 * kJobs;
 constexpr std::size_t kBodyBytes = 7000;
 
-/// A folder below the system's temporary one, removed at the end.
+/// A folder below the system's temporary folder, removed at the end.
 class TemporaryFolder {
  public:
   TemporaryFolder() : path_(std::filesystem::temp_directory_path() / ("store-memory-" + std::to_string(::getpid()))) {
@@ -41,7 +41,7 @@
 /// A store group of one replica on the real disk.
 class SingleStore {
  public:
-  /// Unless told otherwise, a snapshot falls due by entries alone: one of all that was applied before.
+  /// By default, a snapshot is due by the number of entries alone, so that the first snapshot covers all jobs.
   explicit SingleStore(const std::string& folder, std::uint64_t snapshot_after_bytes = std::uint64_t{1} << 40)
       : host_(context_, options(folder, snapshot_after_bytes), make(), adopt(), drop()) {
     started_ = isOk(host_.start());
@@ -112,7 +112,7 @@
   return made;
 }
 
-/// Small entries until a snapshot of the whole state is there.
+/// Applies small entries until a snapshot of the whole state is complete.
 bool applyUntilSnapshot(SingleStore& store) {
   for (int i = 0; i < 2 * kEntriesBeforeSnapshot && store.status().snapshot_bytes == 0; ++i) {
     if (!store.apply(EndJob{JobId("unknown"), TenantId()})) return false;
@@ -129,7 +129,7 @@
 
 }  // namespace
 
-TEST_CASE("a store that takes a snapshot of a large state needs little memory beside the state", "[store][memory]") {
+TEST_CASE("a store that writes a snapshot of a large state needs little memory besides the state", "[store][memory]") {
   const TemporaryFolder folder;
   SingleStore store(folder.path());
   REQUIRE(store.started());
@@ -140,11 +140,12 @@
   HeapMeter::resetPeak();
   REQUIRE(applyUntilSnapshot(store));
   REQUIRE(store.status().snapshot_bytes > store.state().heldBytes());
-  INFO("held " << before / kMegabyte << " MB, at the most " << HeapMeter::peak() / kMegabyte << " MB");
-  CHECK(HeapMeter::peak() <= before + kRoomBesideState);
+  INFO("held " << before / kMegabyte << " MB, peak " << HeapMeter::peak() / kMegabyte << " MB");
+  CHECK(HeapMeter::peak() <= before + kMemoryBesidesState);
 }
 
-TEST_CASE("a store that starts with a snapshot of a large state needs little memory beside it", "[store][memory]") {
+TEST_CASE("a store that starts from a snapshot of a large state needs little memory besides the state",
+          "[store][memory]") {
   const TemporaryFolder folder;
   {
     SingleStore store(folder.path());
@@ -158,11 +159,11 @@
   REQUIRE(again.lead());
   REQUIRE(again.state().jobs().size() == kJobs);
   const std::size_t state = HeapMeter::held() - before;
-  INFO("state " << state / kMegabyte << " MB, at the most " << (HeapMeter::peak() - before) / kMegabyte << " MB");
-  CHECK(HeapMeter::peak() - before <= state + kRoomBesideState);
+  INFO("state " << state / kMegabyte << " MB, peak " << (HeapMeter::peak() - before) / kMegabyte << " MB");
+  CHECK(HeapMeter::peak() - before <= state + kMemoryBesidesState);
 }
 
-TEST_CASE("a snapshot falls due by the bytes of its log, so that a start has no long one to read",
+TEST_CASE("a snapshot is due by the bytes of the log, which bounds the log that a start has to read",
           "[store][snapshot]") {
   const TemporaryFolder folder;
   SingleStore store(folder.path(), kMegabyte);
@@ -172,7 +173,7 @@
   REQUIRE(store.status().applied < kEntriesBeforeSnapshot);
 }
 
-TEST_CASE("a replica that has stopped holds no state beside the one that takes its place", "[store][memory]") {
+TEST_CASE("a state releases its memory at the start of a restore", "[store][memory]") {
   JobState state;
   state.apply(1, encodeTagged(JobCommand(SubmitJob{job(1), {}, 0})));
   REQUIRE(state.heldBytes() > 0);
@@ -181,7 +182,7 @@
   REQUIRE(state.jobs().empty());
 }
 
-TEST_CASE("a state tells about as much memory as it takes", "[store][memory]") {
+TEST_CASE("the memory estimate of a state is close to the measured memory", "[store][memory]") {
   const bool listed = GENERATE(false, true);
   const std::size_t before = HeapMeter::held();
   JobState state;
@@ -202,15 +203,15 @@
       state.apply(1, encodeTagged(JobCommand(ListResults{{JobResult{made.id, result, 0, 0}}})));
     }
   }
-  const auto taken = static_cast<double>(HeapMeter::held() - before);
-  const auto told = static_cast<double>(state.memoryBytes());
-  INFO("takes " << taken << ", tells " << told);
-  CHECK(told >= 0.85 * taken);
-  CHECK(told <= 1.3 * taken);
+  const auto measured = static_cast<double>(HeapMeter::held() - before);
+  const auto estimated = static_cast<double>(state.memoryBytes());
+  INFO("measured " << measured << ", estimated " << estimated);
+  CHECK(estimated >= 0.85 * measured);
+  CHECK(estimated <= 1.3 * measured);
   CHECK(state.expectedBytes() >= state.memoryBytes());
   JobState again;
   REQUIRE(isOk(again.restore(state.snapshot())));
   CHECK(again.memoryBytes() == state.memoryBytes());
   state.apply(1, encodeTagged(JobCommand(DropJobs{{JobId("job-0")}})));
-  CHECK(static_cast<double>(state.memoryBytes()) < told);
+  CHECK(static_cast<double>(state.memoryBytes()) < estimated);
 }
