--- a/src/request/admission/batch_trough.cpp
+++ b/src/request/admission/batch_trough.cpp
@@ -6,22 +6,22 @@
 namespace hatchfork::request {
 namespace {
 
-/// Slack where nothing waits, in seconds.
-constexpr double kNoItem = 1e9;
+/// Slack in seconds if no item is queued.
+constexpr double kSlackWithoutItemsSeconds = 1e9;
 
 }  // namespace
 
 void BatchTrough::noteLoad(Instant now, const ServiceId& service, const std::map<ZoneId, ZoneLoad>& zones) {
-  Service& known = services_[service];
-  std::erase_if(known.zones, [&zones](const auto& entry) { return !zones.contains(entry.first); });
+  Service& state = services_[service];
+  std::erase_if(state.zones, [&zones](const auto& entry) { return !zones.contains(entry.first); });
   for (const auto& [id, load] : zones) {
-    Zone& zone = known.zones[id];
+    Zone& zone = state.zones[id];
     zone.slots = load.slots;
     zone.wave.note(now, load.online);
   }
 }
 
-void BatchTrough::count(Zone& zone, Duration time_left) {
+void BatchTrough::addRun(Zone& zone, Duration time_left) {
   const std::size_t spans = LoadForecast::spansWithin(time_left);
   for (std::size_t span = 0; span < spans; ++span) ++zone.runs[span];
 }
@@ -29,100 +29,103 @@
 void BatchTrough::noteBegun(const RunInFlight& run) {
   const auto service = services_.find(run.service);
   if (service == services_.end()) return;
-  service->second.under_way += run.time_left;
+  service->second.remaining_time += run.time_left;
   ++service->second.runs;
   const auto zone = service->second.zones.find(run.zone);
-  if (zone != service->second.zones.end()) count(zone->second, run.time_left);
+  if (zone != service->second.zones.end()) addRun(zone->second, run.time_left);
 }
 
-/// Counts of requests that come by themselves vary by the root of their mean.
-double BatchTrough::spareFor(double online) const {
-  return limits_.spare_deviations * std::sqrt(online);
+/// Counts of independent arrivals vary by the square root of their mean.
+double BatchTrough::peakMargin(double online) const {
+  return limits_.margin_deviations * std::sqrt(online);
 }
 
-double BatchTrough::urgencyAt(double slack, Duration whole_time) const {
-  const double relaxed = toSeconds(whole_time) * limits_.relaxed_runs;
-  const double pressing = toSeconds(whole_time) * limits_.pressing_runs;
-  if (relaxed <= pressing) return 1;
-  return std::clamp((relaxed - slack) / (relaxed - pressing), 0.0, 1.0);
+double BatchTrough::urgencyForSlack(double slack, Duration whole_time) const {
+  const double relaxed_slack = toSeconds(whole_time) * limits_.relaxed_slack_runs;
+  const double urgent_slack = toSeconds(whole_time) * limits_.urgent_slack_runs;
+  if (relaxed_slack <= urgent_slack) return 1;
+  return std::clamp((relaxed_slack - slack) / (relaxed_slack - urgent_slack), 0.0, 1.0);
 }
 
-/// Until the wave that leaves less places than there are runs, all of them go on; then so many as there are places.
-double BatchTrough::begunWorkDoneIn(const Service& service, double places) {
-  const double under_way = toSeconds(service.under_way);
-  if (service.runs <= places) return under_way / places;
+/// All runs continue until the load peak that leaves fewer slots than there are runs; after that, as many continue as
+/// there are slots.
+double BatchTrough::secondsUntilNextStart(const Service& service, double lasting_slots) {
+  const double remaining_time = toSeconds(service.remaining_time);
+  if (service.runs <= lasting_slots) return remaining_time / lasting_slots;
   for (std::size_t span = 0; span < LoadForecast::kSpans; ++span) {
-    if (placesIn(service, span) >= service.runs) continue;
+    if (freeSlotsIn(service, span) >= service.runs) continue;
     const double until_wave = toSeconds(LoadForecast::beginOf(span));
-    const double left = std::max(0.0, under_way - service.runs * until_wave);
-    return until_wave + left / places;
+    const double left = std::max(0.0, remaining_time - service.runs * until_wave);
+    return until_wave + left / lasting_slots;
   }
-  return under_way / service.runs;
+  return remaining_time / service.runs;
 }
 
-double BatchTrough::workBeyond(const Service& service, double places) {
-  if (service.runs <= places) return 0;
-  return (service.runs - places) * toSeconds(service.under_way) / service.runs;
+double BatchTrough::workBeyondSlots(const Service& service, double lasting_slots) {
+  if (service.runs <= lasting_slots) return 0;
+  return (service.runs - lasting_slots) * toSeconds(service.remaining_time) / service.runs;
 }
 
-double BatchTrough::placesIn(const Service& service, std::size_t span) {
-  double places = 0;
-  for (const auto& [id, zone] : service.zones) places += std::max(0.0, zone.slots - zone.wave.forecast().most[span]);
-  return places;
+double BatchTrough::freeSlotsIn(const Service& service, std::size_t span) {
+  double free_slots = 0;
+  for (const auto& [id, zone] : service.zones)
+    free_slots += std::max(0.0, zone.slots - zone.wave.forecast().most[span]);
+  return free_slots;
 }
 
 std::vector<double> BatchTrough::plan(Instant now, const std::vector<RunInFlight>& runs,
                                       const std::vector<WaitingItem>& waiting, Duration whole_time) {
   for (auto& [id, service] : services_) {
     service.urgency = 0;
-    service.least_slack = kNoItem;
+    service.least_slack = kSlackWithoutItemsSeconds;
     service.runs = 0;
-    service.under_way = Duration::zero();
+    service.remaining_time = Duration::zero();
     for (auto& [zone_id, zone] : service.zones) zone.runs.fill(0);
   }
   for (const RunInFlight& run : runs) noteBegun(run);
-  struct Pace {
-    double places = 1;
-    /// When the next item begins at this pace, in seconds.
-    double begins_in = 0;
+  struct Progress {
+    double lasting_slots = 1;
+    /// Time in seconds until the next queued item starts.
+    double starts_in_seconds = 0;
   };
-  std::map<ServiceId, Pace> paces;
+  std::map<ServiceId, Progress> progress_by_service;
   for (const auto& [id, service] : services_) {
-    const double places = std::max(1.0, lastingPlaces(id, whole_time));
-    paces[id] = Pace{places, begunWorkDoneIn(service, places)};
+    const double lasting_slots = std::max(1.0, lastingPlaces(id, whole_time));
+    progress_by_service[id] = Progress{lasting_slots, secondsUntilNextStart(service, lasting_slots)};
   }
   std::vector<double> urgencies(waiting.size(), 0);
   for (std::size_t i = 0; i < waiting.size(); ++i) {
     const WaitingItem& item = waiting[i];
     const auto service = services_.find(item.service);
     if (service == services_.end() || isHopeless(now, item.order)) continue;
-    Pace& pace = paces.at(item.service);
-    const double slack = toSeconds(slackOf(now, item.order)) - pace.begins_in;
-    pace.begins_in += toSeconds(item.order.time_left) / pace.places;
+    Progress& progress = progress_by_service.at(item.service);
+    const double slack = toSeconds(slackOf(now, item.order)) - progress.starts_in_seconds;
+    progress.starts_in_seconds += toSeconds(item.order.time_left) / progress.lasting_slots;
     service->second.least_slack = std::min(service->second.least_slack, slack);
-    urgencies[i] = urgencyAt(slack, whole_time);
+    urgencies[i] = urgencyForSlack(slack, whole_time);
   }
-  std::map<ServiceId, double> missing;
+  std::map<ServiceId, double> missing_work;
   for (std::size_t i = 0; i < waiting.size(); ++i) {
-    missing[waiting[i].service] += urgencies[i] * toSeconds(waiting[i].order.time_left);
+    missing_work[waiting[i].service] += urgencies[i] * toSeconds(waiting[i].order.time_left);
   }
-  for (auto& [id, work] : missing) {
+  for (auto& [id, work] : missing_work) {
     const auto service = services_.find(id);
-    if (service != services_.end()) work -= workBeyond(service->second, paces.at(id).places);
+    if (service != services_.end()) work -= workBeyondSlots(service->second, progress_by_service.at(id).lasting_slots);
   }
-  // Who begins early makes way for those behind it, as far as they lack time.
-  std::vector<double> behind(waiting.size(), 0);
+  // An earlier item takes the urgency of the items behind it, as far as those lack time: starting it early
+  // frees slots for them.
+  std::vector<double> urgency_behind(waiting.size(), 0);
   for (std::size_t i = waiting.size(); i-- > 0;) {
     const auto service = services_.find(waiting[i].service);
     if (service == services_.end()) continue;
     service->second.urgency = std::max(service->second.urgency, urgencies[i]);
-    behind[i] = service->second.urgency;
+    urgency_behind[i] = service->second.urgency;
   }
   for (std::size_t i = 0; i < waiting.size(); ++i) {
-    double& work = missing[waiting[i].service];
+    double& work = missing_work[waiting[i].service];
     if (work <= 0) continue;
     work -= toSeconds(waiting[i].order.time_left);
-    urgencies[i] = std::max(urgencies[i], behind[i]);
+    urgencies[i] = std::max(urgencies[i], urgency_behind[i]);
   }
   return urgencies;
 }
@@ -130,11 +133,11 @@
 double BatchTrough::lastingPlaces(const ServiceId& id, Duration time_left) const {
   const auto service = services_.find(id);
   if (service == services_.end()) return 0;
-  double places = 0;
+  double lasting_slots = 0;
   for (const auto& [zone_id, zone] : service->second.zones) {
-    places += std::max(0.0, zone.slots - zone.wave.forecast().mostWithin(time_left));
+    lasting_slots += std::max(0.0, zone.slots - zone.wave.forecast().mostWithin(time_left));
   }
-  return places;
+  return lasting_slots;
 }
 
 bool BatchTrough::isShort(const ServiceId& id) const {
@@ -157,9 +160,9 @@
   const std::size_t spans = LoadForecast::spansWithin(time_left);
   for (std::size_t span = 0; span < spans; ++span) {
     const double rise = std::max(0.0, zone.wave.forecast().most[span] - zone.wave.level());
-    const bool is_near = LoadForecast::beginOf(span) < limits_.least_stay;
-    const double kept = 1 - (is_near ? std::max(0.0, 2 * urgency - 1) : urgency);
-    const double online = zone.wave.level() + kept * (rise + spareFor(zone.wave.level() + rise));
+    const bool is_soon = LoadForecast::beginOf(span) < limits_.min_run_time;
+    const double reserved_share = 1 - (is_soon ? std::max(0.0, 2 * urgency - 1) : urgency);
+    const double online = zone.wave.level() + reserved_share * (rise + peakMargin(zone.wave.level() + rise));
     verdict.room = std::min(verdict.room, zone.slots - online - zone.runs[span]);
   }
   verdict.begins = verdict.room >= 1;
--- a/src/request/admission/batch_trough.hpp
+++ b/src/request/admission/batch_trough.hpp
@@ -15,102 +15,102 @@
 
 namespace hatchfork::request {
 
-/// A batch run in flight.
 struct RunInFlight {
   ServiceId service;
   ZoneId zone;
-  /// How long it is expected to run on.
+  /// Expected remaining run time.
   Duration time_left{};
 };
 
-/// A batch item that waits, in the order in which items are to begin.
+/// A queued batch item. Callers list queued items in the order in which they are to start.
 struct WaitingItem {
   ServiceId service;
   DueItem order;
 };
 
 struct BatchTroughLimits {
-  /// Items wait for room that lasts while, at the pace of that room, each of them has slack of more than so many whole
-  /// runs; from the second on, they begin wherever a place is free now.
-  double relaxed_runs = 1;
-  double pressing_runs = 0.3;
-  /// Beyond what is expected, so many standard deviations of it stay free: a place that falls free within a wave and is
-  /// wanted again at once is no room.
-  double spare_deviations = 1;
-  /// A run that would be cut sooner than this after its begin is worth its prompt only to the most pressing items.
-  Duration least_stay = fromMillis(1000);
+  /// Items whose slack exceeds this number of whole runs, at the speed that lasting room allows, wait for such room.
+  /// Items with less slack than `urgent_slack_runs` start in any slot that is free now.
+  double relaxed_slack_runs = 1;
+  double urgent_slack_runs = 0.3;
+  /// Number of standard deviations of the expected online load that stay free on top of it: a slot that falls free
+  /// within a load cycle and is taken again at once is not usable room.
+  double margin_deviations = 1;
+  /// A run that would be preempted sooner than this after its start repeats its prompt for little gain, so only the
+  /// most urgent items start under that condition.
+  Duration min_run_time = fromMillis(1000);
 };
 
-/// Why an item begins in a zone or waits.
+/// Result of judging an item: whether it starts, in which zone, and the figures behind the decision.
 struct TroughVerdict {
   bool begins = false;
   ZoneId zone;
-  /// Places that stay free over the time of the run; negative where the coming wave takes more than there are.
+  /// Slots that stay free for the whole run; negative if the next load peak needs more slots than there are.
   double room = 0;
   double online_now = 0;
   double online_expected = 0;
   std::optional<Duration> period;
 };
 
-/// Where batch runs may begin so that they need not give way when online load rises. Answers online load that comes in
-/// waves beside batch work that is due later: a run that fills a trough and is cut by the next wave is work done twice.
-/// A run begins where its place stays free of online requests to its expected end; the less slack the waiting items
-/// have at the pace that this allows, the less is kept for a wave, down to nothing: then a run begins wherever a place
-/// is free now, as without this. Soft: a new one knows of no wave and holds nothing back. No I/O, no clock. Belongs to
-/// one thread.
+/// Decides where batch runs may start so that a rise of online load does not preempt them. Online load often comes in
+/// cycles; a trough is the part of a cycle with little online load. A run that fills a trough and is preempted by the
+/// next peak has to be repeated. A run starts where its slot is expected to stay free of online requests until the run
+/// ends. The less slack the queued items have at the speed that this rule allows, the less room is reserved for the
+/// next peak, down to none: then a run starts wherever a slot is free now. State is soft: a new instance has seen no
+/// load cycle and reserves nothing. No I/O, no clock. Not thread-safe.
 class BatchTrough {
  public:
   explicit BatchTrough(BatchTroughLimits limits = {}) : limits_(limits) {}
 
-  /// The load of each zone's engines of the service, several times a second.
+  /// Records the current load of the service in each zone. Expected several times a second.
   void noteLoad(Instant now, const ServiceId& service, const std::map<ZoneId, ZoneLoad>& zones);
-  /// Counts the runs in flight anew. Returns for each waiting item how pressing it is, or one behind it that it is in
-  /// the way of: from zero, while it can wait for room that lasts, to one. `whole_time`: of a whole run.
+  /// Replaces the set of runs in flight and returns the urgency of each queued item: from zero, while the item can wait
+  /// for lasting room, to one. An item also takes the urgency of a later item that it delays. `whole_time` is the
+  /// duration of a whole run.
   std::vector<double> plan(Instant now, const std::vector<RunInFlight>& runs, const std::vector<WaitingItem>& waiting,
                            Duration whole_time);
-  /// A run has begun since.
+  /// Records a run started since the last `plan`.
   void noteBegun(const RunInFlight& run);
 
-  /// The zone with the most room for a run of this length, of those allowed; the verdict of the best one where none
-  /// has room.
+  /// Returns the verdict for the allowed zone with the most room for a run of this length, also if no zone has room.
   TroughVerdict judge(const ServiceId& service, Duration time_left, double urgency,
                       const std::optional<std::set<ZoneId>>& zones) const;
-  /// Nothing for a service whose load is not known.
+  /// True if the load of the service has been recorded.
   bool knows(const ServiceId& service) const { return services_.contains(service); }
-  /// Of its most pressing waiting item.
+  /// Urgency of the most urgent queued item of the service; one if the load of the service is not known.
   double urgency(const ServiceId& service) const;
-  /// True if not all waiting items can be in time in room that lasts.
+  /// True if lasting room is too small for all queued items to finish in time.
   bool isShort(const ServiceId& service) const;
-  /// Runs that can be in flight at once without being cut by the greatest load expected.
+  /// Number of runs that can be in flight at once without being preempted by the highest expected load.
   double lastingPlaces(const ServiceId& service, Duration time_left) const;
 
  private:
   struct Zone {
     double slots = 0;
     LoadWave wave;
-    /// Runs that are expected to be in flight when each span begins.
+    /// Runs expected to be in flight at the start of each span.
     std::array<double, LoadForecast::kSpans> runs{};
   };
   struct Service {
     std::map<ZoneId, Zone> zones;
     double urgency = 0;
-    /// Of the waiting items at the pace of room that lasts, in seconds.
+    /// Least slack of the queued items, in seconds, if runs start only in lasting room.
     double least_slack = 0;
-    /// Runs in flight, and the time that all of them will still take.
+    /// Number of runs in flight, and the sum of their remaining times.
     double runs = 0;
-    Duration under_way{};
+    Duration remaining_time{};
   };
 
-  static void count(Zone& zone, Duration time_left);
-  /// Places of all zones that the online requests expected in the span leave.
-  static double placesIn(const Service& service, std::size_t span);
-  /// Work of runs in flight beyond the places that last.
-  static double workBeyond(const Service& service, double places);
-  /// How long the runs in flight keep others from beginning, in seconds.
-  static double begunWorkDoneIn(const Service& service, double places);
+  static void addRun(Zone& zone, Duration time_left);
+  /// Slots of all zones that the online requests expected in the span leave free.
+  static double freeSlotsIn(const Service& service, std::size_t span);
+  /// Remaining work, in seconds, of runs in flight beyond the number of lasting slots.
+  static double workBeyondSlots(const Service& service, double lasting_slots);
+  /// Time in seconds until the runs in flight allow the next queued run to start.
+  static double secondsUntilNextStart(const Service& service, double lasting_slots);
   TroughVerdict judgeZone(const ZoneId& id, const Zone& zone, Duration time_left, double urgency) const;
-  double spareFor(double online) const;
-  double urgencyAt(double slack, Duration whole_time) const;
+  double peakMargin(double online) const;
+  double urgencyForSlack(double slack, Duration whole_time) const;
 
   BatchTroughLimits limits_;
   std::map<ServiceId, Service> services_;
--- a/src/request/admission/byte_budget.cpp
+++ b/src/request/admission/byte_budget.cpp
@@ -5,13 +5,13 @@
 namespace hatchfork::request {
 namespace {
 
-/// Shares of the bound from which on peers that take nothing get less time, and from which on others wait.
+/// Shares of the bound above which silent peers get less time, and above which new work waits.
 constexpr double kPressureShare = 0.5;
 constexpr double kFullShare = 0.75;
-/// With more offered to peers than this, room comes from them: they take it, or are let go.
+/// If more than this share is offered to peers, room comes from them: they read the bytes or are disconnected.
 constexpr double kOfferedShare = 0.25;
 
-std::size_t shareOf(std::size_t bytes, double share) {
+std::size_t partOf(std::size_t bytes, double share) {
   return static_cast<std::size_t>(static_cast<double>(bytes) * share);
 }
 
@@ -19,78 +19,78 @@
 
 HeldId ByteBudget::hold(std::size_t bytes) {
   const HeldId held = ++last_id_;
-  held_.emplace(held, Held{bytes, std::nullopt});
+  buffers_.emplace(held, Buffer{bytes, std::nullopt});
   bytes_ += bytes;
   return held;
 }
 
 HeldId ByteBudget::beginCollecting() {
   const HeldId held = hold(0);
-  collecting_.insert(held);
+  growing_.insert(held);
   return held;
 }
 
 void ByteBudget::add(HeldId held, std::size_t bytes) {
-  const auto found = held_.find(held);
-  if (found == held_.end()) return;
+  const auto found = buffers_.find(held);
+  if (found == buffers_.end()) return;
   found->second.bytes += bytes;
   bytes_ += bytes;
-  if (found->second.waits_since) offered_bytes_ += bytes;
+  if (found->second.silent_since) offered_bytes_ += bytes;
 }
 
 void ByteBudget::offer(Instant now, HeldId held) {
-  const auto found = held_.find(held);
-  if (found == held_.end()) return;
-  if (!found->second.waits_since) offered_bytes_ += found->second.bytes;
-  found->second.waits_since = now;
-  collecting_.erase(held);
+  const auto found = buffers_.find(held);
+  if (found == buffers_.end()) return;
+  if (!found->second.silent_since) offered_bytes_ += found->second.bytes;
+  found->second.silent_since = now;
+  growing_.erase(held);
 }
 
 void ByteBudget::noteTaken(Instant now, HeldId held, std::size_t bytes) {
-  const auto found = held_.find(held);
-  if (found == held_.end() || bytes == 0 || !found->second.waits_since) return;
+  const auto found = buffers_.find(held);
+  if (found == buffers_.end() || bytes == 0 || !found->second.silent_since) return;
   const std::size_t taken = std::min(bytes, found->second.bytes);
   found->second.bytes -= taken;
-  found->second.waits_since = now;
+  found->second.silent_since = now;
   bytes_ -= taken;
   offered_bytes_ -= taken;
 }
 
 void ByteBudget::release(HeldId held) {
-  const auto found = held_.find(held);
-  if (found == held_.end()) return;
+  const auto found = buffers_.find(held);
+  if (found == buffers_.end()) return;
   bytes_ -= found->second.bytes;
-  if (found->second.waits_since) offered_bytes_ -= found->second.bytes;
-  collecting_.erase(held);
-  held_.erase(found);
+  if (found->second.silent_since) offered_bytes_ -= found->second.bytes;
+  growing_.erase(held);
+  buffers_.erase(found);
 }
 
 bool ByteBudget::hasRoom() const {
-  return bytes_ < shareOf(limits_.most_bytes, kFullShare);
+  return bytes_ < partOf(limits_.most_bytes, kFullShare);
 }
 
 bool ByteBudget::mayGrow(HeldId held) const {
   if (hasRoom()) return true;
-  const bool is_oldest = !collecting_.empty() && *collecting_.begin() == held;
-  return is_oldest && offered_bytes_ < shareOf(limits_.most_bytes, kOfferedShare);
+  const bool is_oldest = !growing_.empty() && *growing_.begin() == held;
+  return is_oldest && offered_bytes_ < partOf(limits_.most_bytes, kOfferedShare);
 }
 
 std::vector<SlowPeer> ByteBudget::slowPeers(Instant now) const {
   std::vector<SlowPeer> waiting;
-  for (const auto& [held, entry] : held_) {
-    if (entry.waits_since && entry.bytes > 0) waiting.push_back({held, entry.bytes, now - *entry.waits_since});
+  for (const auto& [held, entry] : buffers_) {
+    if (entry.silent_since && entry.bytes > 0) waiting.push_back({held, entry.bytes, now - *entry.silent_since});
   }
   std::stable_sort(waiting.begin(), waiting.end(),
                    [](const SlowPeer& left, const SlowPeer& right) { return left.bytes > right.bytes; });
   std::vector<SlowPeer> slow;
-  std::size_t left = bytes_;
+  std::size_t buffered = bytes_;
   for (const SlowPeer& peer : waiting) {
     Duration patience = limits_.patience;
-    if (left > shareOf(limits_.most_bytes, kPressureShare)) patience = limits_.patience_under_pressure;
-    if (left > limits_.most_bytes) patience = limits_.least_patience;
+    if (buffered > partOf(limits_.most_bytes, kPressureShare)) patience = limits_.patience_under_pressure;
+    if (buffered > limits_.most_bytes) patience = limits_.least_patience;
     if (peer.silent_for < patience) continue;
     slow.push_back(peer);
-    left -= peer.bytes;
+    buffered -= peer.bytes;
   }
   return slow;
 }
--- a/src/request/admission/byte_budget.hpp
+++ b/src/request/admission/byte_budget.hpp
@@ -11,73 +11,73 @@
 
 namespace hatchfork::request {
 
-/// Names bytes that are held for one peer.
+/// Identifies the bytes buffered for one peer.
 using HeldId = std::uint64_t;
 
 struct ByteBudgetLimits {
-  /// Bytes held for all peers together.
+  /// Bound on the bytes buffered for all peers together.
   std::size_t most_bytes = 0;
-  /// A peer that takes nothing of what waits for it is let go after this long, whatever else is held.
+  /// A peer that has accepted no byte for this long counts as slow, however little is buffered.
   Duration patience = std::chrono::seconds(10);
-  /// And after this long while more than half of the bound is held: longer than a link that loses packets needs to go
-  /// on, shorter than it takes others to fill the rest.
+  /// Shorter limit while more than half of the bound is in use: longer than a link with packet loss needs to resume,
+  /// shorter than other peers need to fill the rest of the bound.
   Duration patience_under_pressure = std::chrono::seconds(2);
-  /// At the bound itself, who waits less than this is no slow reader: its bytes are on their way.
+  /// Limit above the bound itself. A peer silent for less than this is not slow: its bytes may still be in transit.
   Duration least_patience = fromMillis(500);
 };
 
-/// A peer that is to be let go.
+/// A peer to disconnect.
 struct SlowPeer {
   HeldId held = 0;
   std::size_t bytes = 0;
-  /// Since it last took a byte.
+  /// Time since the peer last accepted a byte.
   Duration silent_for{};
 };
 
-/// Bounds what a process holds for callers and engines that read slowly. Load: hundreds of callers that read a byte a
-/// second, or engines that stop reading long requests; each holds little, all together more than a small gateway has.
-/// Back-pressure comes first (`mayGrow`, `hasRoom`): what is not read yet from the other side costs nothing here. Then
-/// peers that take nothing are let go, the greediest first. No I/O, no clock.
+/// Bounds the bytes that a process buffers for callers and engines that read slowly: hundreds of callers that read a
+/// byte per second, or engines that stop reading long requests, each buffer little but together more than a small
+/// gateway has. Backpressure comes first (`mayGrow`, `hasRoom`): bytes not yet read from the other side cost nothing
+/// here. After that, peers that accept nothing are reported as slow, the largest first. No I/O, no clock.
 class ByteBudget {
  public:
   explicit ByteBudget(ByteBudgetLimits limits) : limits_(limits) {}
 
-  /// Bytes that are kept: nobody is waited for yet.
+  /// Starts buffering `bytes`; the peer is not expected to read yet.
   HeldId hold(std::size_t bytes);
-  /// Bytes that are about to be collected, and then offered.
+  /// Starts an empty buffer that grows by `add` until `offer`.
   HeldId beginCollecting();
   void add(HeldId held, std::size_t bytes);
-  /// From now on the peer is waited for: it has been offered all that is held.
+  /// Marks the buffer as offered: from now on the peer is expected to read.
   void offer(Instant now, HeldId held);
-  /// The peer took some of them.
+  /// Records that the peer accepted `bytes`.
   void noteTaken(Instant now, HeldId held, std::size_t bytes);
   void release(HeldId held);
 
-  /// False while new work that holds much should wait: from three quarters of the bound on.
+  /// False if new work that needs large buffers should wait: from three quarters of the bound on.
   bool hasRoom() const;
-  /// True if more may be collected for it: there is room, or it is the oldest of those that collect while peers are
-  /// offered little, so that those who collect never all wait for each other.
+  /// True if the buffer may grow: there is room, or the buffer is the oldest that is still growing and little is
+  /// offered to peers. The exception keeps growing buffers from all waiting for each other.
   bool mayGrow(HeldId held) const;
-  /// Who is to be let go now, the greediest first. Their bytes count until they are released.
+  /// Returns the peers to disconnect now, the largest buffer first. Their bytes count until they are released.
   std::vector<SlowPeer> slowPeers(Instant now) const;
 
   std::size_t bytes() const { return bytes_; }
-  std::size_t peers() const { return held_.size(); }
+  std::size_t peers() const { return buffers_.size(); }
   const ByteBudgetLimits& limits() const { return limits_; }
 
  private:
-  struct Held {
+  struct Buffer {
     std::size_t bytes = 0;
-    /// When the peer last took something, counted from the offer; nothing while it is not waited for.
-    std::optional<Instant> waits_since;
+    /// When the peer last accepted bytes, or the time of the offer; empty until the offer.
+    std::optional<Instant> silent_since;
   };
 
   ByteBudgetLimits limits_;
-  std::map<HeldId, Held> held_;
-  /// Those that collect; the first one is the oldest.
-  std::set<HeldId> collecting_;
+  std::map<HeldId, Buffer> buffers_;
+  /// Buffers that are still growing; the first is the oldest.
+  std::set<HeldId> growing_;
   std::size_t bytes_ = 0;
-  /// Of these, what waits for peers.
+  /// Part of `bytes_` that has been offered to peers.
   std::size_t offered_bytes_ = 0;
   HeldId last_id_ = 0;
 };
--- a/src/request/admission/credit_ask.cpp
+++ b/src/request/admission/credit_ask.cpp
@@ -7,22 +7,24 @@
 namespace hatchfork::request {
 namespace {
 
-/// Part of its objective that a request may wait before it is run: the rest is for its engine and the ways there.
-constexpr int kObjectiveParts = 2;
-/// Part of its time that a request waits for a late answer: beyond it, too little is left to run it.
-constexpr int kLeftParts = 2;
-/// Callers let themselves be sent away for a third of the time that they still wait.
-constexpr int kAwayParts = 3;
-/// Kept from that, so that the time told is one that the caller keeps to.
-constexpr Duration kAwayMargin = fromMillis(10);
+/// Divisor of the latency objective: a request may wait this part of the objective before it runs. The rest is for the
+/// engine and for network transit.
+constexpr int kObjectiveDivisor = 2;
+/// Divisor of the remaining time: a request waits this part for a late answer. Beyond that, too little time is left to
+/// run it.
+constexpr int kRemainingDivisor = 2;
+/// Divisor of a caller's remaining time: callers accept a retry delay of a third of the time that they still wait.
+constexpr int kRetryDelayDivisor = 3;
+/// Margin subtracted from the retry delay, so that the caller can keep to the reported time.
+constexpr Duration kRetryDelayMargin = fromMillis(10);
 
 }  // namespace
 
 CreditAsk askOf(Duration objective, Duration left, Duration caller_left) {
   CreditAsk ask;
-  ask.at_all = std::max(Duration::zero(), left / kLeftParts);
-  ask.in_time = std::min(objective / kObjectiveParts, ask.at_all);
-  ask.away = std::max(Duration::zero(), caller_left / kAwayParts - kAwayMargin);
+  ask.at_all = std::max(Duration::zero(), left / kRemainingDivisor);
+  ask.in_time = std::min(objective / kObjectiveDivisor, ask.at_all);
+  ask.away = std::max(Duration::zero(), caller_left / kRetryDelayDivisor - kRetryDelayMargin);
   return ask;
 }
 
--- a/src/request/admission/credit_ask.hpp
+++ b/src/request/admission/credit_ask.hpp
@@ -6,17 +6,18 @@
 #include "request/crash/request_fingerprint.hpp"
 #include "request/limits/rate_credit.hpp"
 
-/// What a request can still use, when its tenant is over a limit. Answers the load of a surge: a time to come back that
-/// lies beyond what its caller waits for is worth nothing to it.
+/// Derives what a request over its tenant's rate limit can still use. During a surge, a retry time that lies beyond its
+/// caller's deadline is of no use to the caller.
 namespace hatchfork::request {
 
-/// How long a request can wait here or its caller be sent away: `objective` is its route's, `left` what remains until
-/// it is given up here, `caller_left` until its caller gives it up.
+/// Computes how long a request can wait at the gateway and how long its caller can be sent away. `objective` is the
+/// latency objective of the route, `left` the time until the gateway gives up the request, `caller_left` the time until
+/// its caller gives up.
 CreditAsk askOf(Duration objective, Duration left, Duration caller_left);
 
-/// Names the content of a request by 64 bits, equal for each try of one caller with the same content at whatever
-/// gateway. Who sends what bears the same number as another request gets the place that was kept for that one, within
-/// its own tenant's limit alone.
+/// Returns a 64-bit hash of the content, equal for each attempt of one caller with the same content at any gateway. A
+/// request with the hash of another request can use the credit reserved for that other request, but only within the
+/// limit of its own tenant.
 std::uint64_t contentNumber(const RequestContent& content);
 
 }  // namespace hatchfork::request
--- a/src/request/admission/engine_pace.cpp
+++ b/src/request/admission/engine_pace.cpp
@@ -5,7 +5,7 @@
 
 namespace hatchfork::request {
 
-double stepOf(const AnswerTiming& timing) {
+double stepMsOf(const AnswerTiming& timing) {
   if (timing.events > 1) return timing.held_ms / (timing.events - 1);
   return timing.events == 0 ? timing.first_ms + timing.held_ms : 0;
 }
@@ -16,30 +16,30 @@
 }
 
 void ServicePace::note(const AnswerTiming& timing, const EnginePaceLimits& limits) {
-  const double step_ms = stepOf(timing);
+  const double step_ms = stepMsOf(timing);
   if (step_ms > 0) step_ms_.note(step_ms, limits.service_learning_rate);
 }
 
 void ServicePace::noteFirst(double first_ms, double reading_ms, const EnginePaceLimits& limits) {
-  const double beside_ms = std::max(0.0, first_ms - reading_ms);
+  const double without_reading_ms = std::max(0.0, first_ms - reading_ms);
   const bool is_known = first_ms_.count() > 0;
-  const double most_ms = limits.most_surprise * std::max(1.0, first_ms_.value());
-  first_ms_.note(is_known ? std::min(beside_ms, most_ms) : beside_ms, limits.service_learning_rate);
+  const double max_ms = limits.max_observation_factor * std::max(1.0, first_ms_.value());
+  first_ms_.note(is_known ? std::min(without_reading_ms, max_ms) : without_reading_ms, limits.service_learning_rate);
 }
 
 void EnginePace::note(const AnswerTiming& timing, const ServicePace& service, const EnginePaceLimits& limits) {
-  const double step_ms = stepOf(timing);
+  const double step_ms = stepMsOf(timing);
   if (step_ms <= 0) return;
   const double known_ms = step_ms_.count() > 0 ? step_ms_.value() : service.stepMs();
-  const double surprise = step_ms_.count() > 0 ? limits.most_surprise : limits.most_learned;
+  const double max_factor = step_ms_.count() > 0 ? limits.max_observation_factor : limits.max_learned_factor;
   const bool has_known = known_ms > 0;
-  const double taken_ms = has_known ? std::clamp(step_ms, known_ms / surprise, known_ms * surprise) : step_ms;
-  step_ms_.note(taken_ms, limits.engine_learning_rate);
+  const double bounded_ms = has_known ? std::clamp(step_ms, known_ms / max_factor, known_ms * max_factor) : step_ms;
+  step_ms_.note(bounded_ms, limits.engine_learning_rate);
 }
 
 void EnginePace::noteTold(Instant now, double factor, const EnginePaceLimits& limits) {
-  told_ = std::clamp(factor, 1 / limits.most_told, limits.most_told);
-  told_at_ = now;
+  reported_ = std::clamp(factor, 1 / limits.max_reported_factor, limits.max_reported_factor);
+  reported_at_ = now;
 }
 
 double EnginePace::learned(const ServicePace& service, const EnginePaceLimits& limits) const {
@@ -47,13 +47,13 @@
   if (own <= 0 || service.stepMs() <= 0) return 1;
   const double prior = limits.prior_observations;
   const double shrunk = (own * step_ms_.value() + prior * service.stepMs()) / (own + prior);
-  return std::clamp(shrunk / service.stepMs(), 1 / limits.most_learned, limits.most_learned);
+  return std::clamp(shrunk / service.stepMs(), 1 / limits.max_learned_factor, limits.max_learned_factor);
 }
 
 double EnginePace::told(Instant now, const EnginePaceLimits& limits) const {
-  if (told_ == 1 || told_at_ == Instant::min() || now >= told_at_ + limits.told_lifetime) return 1;
-  const double age = std::max(0.0, toSeconds(now - told_at_) / toSeconds(limits.told_half_life));
-  return 1 + (told_ - 1) * std::exp2(-age);
+  if (reported_ == 1 || reported_at_ == Instant::min() || now >= reported_at_ + limits.reported_lifetime) return 1;
+  const double age = std::max(0.0, toSeconds(now - reported_at_) / toSeconds(limits.reported_half_life));
+  return 1 + (reported_ - 1) * std::exp2(-age);
 }
 
 }  // namespace hatchfork::request
--- a/src/request/admission/engine_pace.hpp
+++ b/src/request/admission/engine_pace.hpp
@@ -4,41 +4,42 @@
 
 #include "common/time.hpp"
 
-/// Load that this answers: a jump at engines of several speeds that share their machines with others. With one speed
-/// for all, half of the requests wait at slow engines while fast ones are idle.
+/// Estimates the speed of engines for placement. Engines of several speeds share their machines with other work; if all
+/// of them are taken as equally fast, half of the requests of a load jump wait at slow engines while fast engines are
+/// idle.
 namespace hatchfork::request {
 
 struct EnginePaceLimits {
-  /// The service's mean counts for so many observations against an engine's own.
+  /// Number of observations that the service mean counts for against an engine's own observations.
   double prior_observations = 3;
-  /// Weights of a new observation at the least: of one engine, of a whole service.
+  /// Least weights of a new observation: in the mean of an engine, and in the mean of a service.
   double engine_learning_rate = 0.05;
   double service_learning_rate = 0.01;
-  /// One observation is taken for no more than so many times what was known, and no less than that part of it.
-  double most_surprise = 2;
-  /// No engine counts as slower or faster than the mean by more than this factor.
-  double most_learned = 3;
-  /// An engine's own word counts half after this long, since it changes many times a second, and nothing after the
-  /// second.
-  Duration told_half_life = fromMillis(200);
-  Duration told_lifetime = fromMillis(1200);
-  /// The greatest factor that an engine's own word is believed for.
-  double most_told = 10;
+  /// Bounds one observation to this factor above or below the current mean.
+  double max_observation_factor = 2;
+  /// Bounds the learned slowdown to this factor above or below the mean.
+  double max_learned_factor = 3;
+  /// Half-life and lifetime of the slowdown that an engine reports. Reported values change many times a second.
+  Duration reported_half_life = fromMillis(200);
+  Duration reported_lifetime = fromMillis(1200);
+  /// Bounds the reported slowdown to this factor above or below one.
+  double max_reported_factor = 10;
 };
 
-/// What became of one request at an engine.
+/// Timing of one request at an engine.
 struct AnswerTiming {
-  /// From sending it to the first byte of the answer, and from there to the end.
+  /// Time from sending the request to the first byte of the answer, and from there to the end.
   double first_ms = 0;
   double held_ms = 0;
-  /// Events of a stream; zero for an answer that comes whole.
+  /// Number of stream events; zero for an answer that is not streamed.
   std::uint32_t events = 0;
 };
 
-/// The time of one step of an answer: between two events, or of the whole answer where there are none.
-double stepOf(const AnswerTiming& timing);
+/// Returns the time of one step of an answer in milliseconds: between two events, or of the whole answer if there are
+/// no events. Zero for a stream of one event.
+double stepMsOf(const AnswerTiming& timing);
 
-/// A mean that takes the first observations fully and later ones by a least weight.
+/// Running mean that weights its first observations equally and later observations by at least a given weight.
 class LearnedMean {
  public:
   void note(double value, double least_weight);
@@ -50,21 +51,21 @@
   double count_ = 0;
 };
 
-/// What is usual at the engines of a service. No I/O, no clock.
+/// Mean speed of the engines of a service. No I/O, no clock.
 class ServicePace {
  public:
-  /// An engine of the service told its pace: they are uneven.
+  /// Records that an engine of the service reported its speed: engines of the service are not equally fast.
   void noteTold() { is_uneven_ = true; }
   void note(const AnswerTiming& timing, const EnginePaceLimits& limits);
-  /// `reading_ms`: what reading the prompt takes of the time to the first byte at the engine, at which it had a place
-  /// at once.
+  /// Records a time to the first byte at an engine that had a free slot. `reading_ms` is the part of it spent on
+  /// reading the prompt.
   void noteFirst(double first_ms, double reading_ms, const EnginePaceLimits& limits);
 
-  /// True if engines of the service tell their pace, so that they are not to be taken as equal.
+  /// True if engines of the service report their speed, so that they are not taken as equal.
   bool isUneven() const { return is_uneven_; }
-  /// Mean time of a step; zero before any was seen.
+  /// Mean time of a step in milliseconds; zero before the first observation.
   double stepMs() const { return step_ms_.value(); }
-  /// Time to the first byte beside the reading of the prompt.
+  /// Mean time to the first byte in milliseconds, without the reading of the prompt.
   double firstMs() const { return first_ms_.value(); }
 
  private:
@@ -73,33 +74,36 @@
   LearnedMean first_ms_;
 };
 
-/// How fast one life of an engine works, learned from answers and as it told. A new life begins a new one. No I/O, no
-/// clock.
+/// Speed of one incarnation of an engine, learned from answers and reported by the engine. A new incarnation starts
+/// with a new instance. No I/O, no clock.
 class EnginePace {
  public:
   void note(const AnswerTiming& timing, const ServicePace& service, const EnginePaceLimits& limits);
-  /// `factor`: how long work takes at this moment against what is usual there.
+  /// Records the slowdown that the engine reports: `factor` is the time that work takes now relative to the engine's
+  /// usual time.
   void noteTold(Instant now, double factor, const EnginePaceLimits& limits);
 
-  /// How long a step takes here against the mean engine of the service: below one for fast engines.
+  /// Learned slowdown: time of a step relative to the mean engine of the service, below one for fast engines.
   double learned(const ServicePace& service, const EnginePaceLimits& limits) const;
-  /// The told factor, decayed to one by its age.
+  /// Reported slowdown, which decays to one with its age.
   double told(Instant now, const EnginePaceLimits& limits) const;
-  /// Both together.
+  /// Learned and reported slowdown combined.
   double slowness(Instant now, const ServicePace& service, const EnginePaceLimits& limits) const {
     return learned(service, limits) * told(now, limits);
   }
-  /// Negative where it told nothing.
-  std::int64_t toldAgeMs(Instant now) const { return told_at_ == Instant::min() ? -1 : toMillis(now - told_at_); }
-  /// Places of the engine, counted in places of the mean one.
-  double effectivePlaces(Instant now, double places, const ServicePace& service, const EnginePaceLimits& limits) const {
+  /// Age of the last report in milliseconds; -1 if the engine reported nothing.
+  std::int64_t toldAgeMs(Instant now) const {
+    return reported_at_ == Instant::min() ? -1 : toMillis(now - reported_at_);
+  }
+  /// Slots of the engine in units of slots of the mean engine.
+  double effectiveSlots(Instant now, double places, const ServicePace& service, const EnginePaceLimits& limits) const {
     return places / slowness(now, service, limits);
   }
 
  private:
   LearnedMean step_ms_;
-  double told_ = 1;
-  Instant told_at_ = Instant::min();
+  double reported_ = 1;
+  Instant reported_at_ = Instant::min();
 };
 
 }  // namespace hatchfork::request
--- a/src/request/admission/fair_share.hpp
+++ b/src/request/admission/fair_share.hpp
@@ -12,124 +12,124 @@
 
 namespace hatchfork::request {
 
-/// What a request takes of an engine, as far as it is known when its turn is decided.
+/// Work that a request is expected to need at an engine, as far as it is known at scheduling time.
 struct ExpectedWork {
   std::uint64_t prompt_tokens = 0;
   std::uint64_t tokens_out = 0;
-  /// How long it holds its place; goes before the tokens out where it is known.
-  Duration place_time{};
+  /// Time for which the request occupies its slot; used instead of `tokens_out` if it is not zero.
+  Duration slot_time{};
 };
 
 struct FairShareLimits {
-  /// Prompt tokens and tokens out that are worth as much as a millisecond of a place. Only their ratio to each other
-  /// and to known place times counts.
+  /// Prompt tokens and output tokens that cost as much as a millisecond of a slot. Only their ratio to each other and
+  /// to known slot times matters.
   double prompt_tokens_per_ms = 80;
   double tokens_out_per_ms = 0.3;
-  /// A tenant's usual work is counted in pieces of this length, and counts half after the second.
-  Duration usual_window = std::chrono::seconds(1);
+  /// Length of the windows in which a tenant's usual work is measured, and the half-life of a window's weight.
+  Duration window_length = std::chrono::seconds(1);
   Duration usual_half_life = std::chrono::seconds(60);
-  /// What one window shows counts for no more than so many times the usual: a surge doesn't become the usual while it
-  /// lasts.
-  double most_surprise = 2;
-  /// A tenant is at its usual up to so many times its usual work, with so much of it, or so many requests, at once:
-  /// requests of one tenant come in clumps.
+  /// Bounds the work counted in one window to this multiple of the usual work, so that a surge does not become the
+  /// usual work while it lasts.
+  double max_window_factor = 2;
+  /// A tenant is within its usual work up to `usual_margin` times that work, with a burst of the usual work of the
+  /// time `burst`, or of `burst_requests` requests: requests of one tenant arrive in bursts.
   double usual_margin = 1.25;
-  Duration allowance = std::chrono::seconds(1);
-  double allowed_requests = 4;
-  /// A tenant that sent nothing for this long is forgotten, and so are the longest silent ones above this many.
-  Duration forgotten_after = std::chrono::minutes(3);
-  std::size_t most_tenants = 65536;
+  Duration burst = std::chrono::seconds(1);
+  double burst_requests = 4;
+  /// Tenants idle for this long are evicted, and above `max_tenants` the tenants that have been idle longest.
+  Duration evicted_after = std::chrono::minutes(3);
+  std::size_t max_tenants = 65536;
 };
 
-/// Where a request stands between those of all tenants.
+/// Scheduling position of a request among the requests of all tenants.
 struct Turn {
-  /// Who has less goes first; zero for what its tenant usually sends. Stays as it is while the request waits;
-  /// comparable between all requests of one `FairShare`.
+  /// Requests with a lower start go first; zero for requests within their tenant's usual work. Constant while the
+  /// request waits; comparable between all requests of one `FairShare`.
   double start = 0;
-  /// What it added to its tenant's time, and the work that it asked for.
+  /// Virtual time charged to the tenant, and the work requested.
   double charged = 0;
   double work = 0;
 };
 
-/// Whose turn it is when room is short. Answers the load of one tenant that sends many times its usual, maybe while
-/// engines are lost: those who stay at their usual go before its surplus.
+/// Orders requests of several tenants when slots are scarce. If one tenant sends many times its usual load, possibly
+/// while engines are lost, requests of tenants within their usual work go before its surplus.
 ///
-/// Each tenant has a bucket that fills at its weight: requests that it covers go first, all alike. The others go by
-/// start-time fair queueing: their tenant's virtual time grows by the work they ask for over its weight, and who is
-/// behind goes first, so that what is left is shared by weight. The weight is the tenant's configured weight times its
-/// usual work, and at least times the mean usual work of all tenants; usual work counts over the configured weight, so
-/// that tenants that always wait come to be served by their configured weights. A tenant that was idle has a full
-/// bucket and starts at the common virtual time: no other credit for the past. Says only who goes first, never that a
-/// free place stays empty. What is known is soft: it starts with nothing, and then all tenants are equal. No I/O, no
-/// clock. Belongs to one thread.
+/// Each tenant has a token bucket that fills at its weight: requests that the bucket covers go first, with equal rank.
+/// The others are ordered by start-time fair queueing: the virtual time of their tenant grows by the requested work
+/// over its weight, and the tenant with the least virtual time goes first, so that the remaining capacity is shared by
+/// weight. The weight is the configured weight of the tenant times its usual work, and at least times the mean usual
+/// work of all tenants. Usual work is measured over the configured weight, so that tenants with a constant backlog
+/// converge to shares by configured weight. A tenant that was idle has a full bucket and starts at the common virtual
+/// time: it gets no other credit for the past. Only the order is decided here, never that a free slot stays empty.
+/// State is soft: it starts empty, and then all tenants are equal. No I/O, no clock. Not thread-safe.
 ///
-/// Use: `enter` each request, also one that finds a place at once; order those who wait by `Turn::start`; `serve` the
-/// one that gets a place; `leave` for one that goes without.
+/// Use: call `enter` for each request, also for a request that gets a slot at once; order waiting requests by
+/// `Turn::start`; call `serve` for a request that gets a slot and `leave` for a request that leaves without one.
 class FairShare {
  public:
   explicit FairShare(FairShareLimits limits = {});
 
-  /// A request of the tenant asks for a place. `work` in milliseconds, of `workOf`.
+  /// Adds a request of the tenant. `work` is in milliseconds, as returned by `workOf`.
   Turn enter(Instant now, const TenantId& tenant, double work, double configured_weight = 1);
-  /// It has got a place.
+  /// Records that the request got a slot.
   void serve(Instant now, const TenantId& tenant, const Turn& turn);
-  /// It has left without a place: its tenant has not used what it asked for.
+  /// Refunds a request that left without a slot.
   void leave(const TenantId& tenant, const Turn& turn);
-  /// The start that a request of this work would have now, after so much more of its tenant.
+  /// Returns the start that a request of `work` would get now, after `more_work` of the same tenant.
   double startAfter(Instant now, const TenantId& tenant, double more_work, double work,
                     double configured_weight = 1) const;
-  /// A served request took so much more, or less if negative, than was expected.
+  /// Corrects the charge of a served request: `more_work` is the actual minus the expected work, and may be negative.
   void correct(const TenantId& tenant, double more_work);
 
   double workOf(const ExpectedWork& expected) const;
-  /// The tenant's usual work a second, over its configured weight.
+  /// Usual work of the tenant per second, over its configured weight.
   double usual(Instant now, const TenantId& tenant) const;
   std::size_t tenants() const { return tenants_.size(); }
 
  private:
   struct Tenant {
-    /// Of its surplus.
+    /// Virtual time of the requests that the bucket does not cover.
     double virtual_time = 0;
-    /// Until when its bucket is used up, in seconds of the time line.
+    /// Time until which the bucket is used up, in seconds since the epoch of `Instant`.
     double paid_until = 0;
-    /// Of the last request.
+    /// Weights at the last request.
     double weight = 1;
     double configured_weight = 1;
-    /// Work a second over the configured weight, up to the begin of `window`.
+    /// Work per second over the configured weight, up to the start of `window`.
     double usual = 0;
     std::int64_t window = 0;
     std::uint32_t windows_seen = 0;
     double in_window = 0;
     Instant used_at{};
-    std::list<std::string>::iterator place;
+    std::list<std::string>::iterator use_position;
   };
 
-  std::int64_t windowOf(Instant now) const { return now.time_since_epoch() / limits_.usual_window; }
-  /// The usual work at the begin of the window, if nothing came since it was counted last.
+  std::int64_t windowOf(Instant now) const { return now.time_since_epoch() / limits_.window_length; }
+  /// Usual work at the start of the window if no work has been counted since `tenant.window`.
   double usualAt(const Tenant& tenant, std::int64_t window) const;
   double meanUsual() const;
-  /// Counts what came in windows that are over.
+  /// Folds the work of completed windows into the usual work.
   void closeWindows(Instant now);
   void learnUsual(Tenant& tenant, double mean) const;
   double weightOf(double usual, double configured_weight) const;
-  /// Whether the bucket covers so much work, the last piece of it a request of `work`.
+  /// True if the bucket covers `all_work`, the last part of which is a request of `work`.
   bool covers(Instant now, const Tenant& tenant, double weight, double all_work, double work) const;
-  Tenant& touch(Instant now, const TenantId& id);
-  void forget(Instant now);
+  Tenant& markUsed(Instant now, const TenantId& id);
+  void evictIdle(Instant now);
 
   FairShareLimits limits_;
   std::unordered_map<std::string, Tenant> tenants_;
-  /// Longest silent first.
+  /// Ordered by last use, the tenant idle for longest first.
   std::list<std::string> by_use_;
-  /// Tenants with work in the window.
+  /// Tenants with work in the current window.
   std::vector<std::string> in_window_;
   std::int64_t window_ = 0;
-  /// Share of a window's work in the usual.
+  /// Weight of one window in the usual work.
   double learning_rate_ = 0;
   double virtual_time_ = 1;
   double usual_sum_ = 0;
-  /// Mean work of a request.
-  double typical_work_ = 0;
+  /// Moving mean of the work of a request.
+  double mean_work_ = 0;
 };
 
 }  // namespace hatchfork::request
--- a/src/request/admission/hold_budget.cpp
+++ b/src/request/admission/hold_budget.cpp
@@ -4,12 +4,12 @@
 
 namespace hatchfork::request {
 
-HoldBudget::HoldBudget(std::size_t most_requests, std::size_t most_bytes)
-    : most_requests_(most_requests), most_bytes_(most_bytes) {}
+HoldBudget::HoldBudget(std::size_t max_requests, std::size_t max_bytes)
+    : max_requests_(max_requests), max_bytes_(max_bytes) {}
 
 bool HoldBudget::tryEnter(std::size_t bytes) {
-  if (requests_ >= most_requests_) return false;
-  if (bytes > most_bytes_ - bytes_) return false;
+  if (requests_ >= max_requests_) return false;
+  if (bytes > max_bytes_ - bytes_) return false;
   requests_ += 1;
   bytes_ += bytes;
   return true;
--- a/src/request/admission/hold_budget.hpp
+++ b/src/request/admission/hold_budget.hpp
@@ -4,32 +4,31 @@
 
 namespace hatchfork::request {
 
-/// Bounds what a gateway holds of requests that wait, by count and by bytes of their bodies, over all reasons to wait.
-/// Answers the load of a surge or of a start in which more callers wait than the process has memory for: what does not
-/// fit is refused at once.
+/// Bounds the pending requests of a gateway by count and by bytes of their bodies, over all reasons to wait. In a surge
+/// or at startup, more callers may wait than the process has memory for; requests that do not fit are refused at once.
 class HoldBudget {
  public:
-  HoldBudget(std::size_t most_requests, std::size_t most_bytes);
+  HoldBudget(std::size_t max_requests, std::size_t max_bytes);
 
-  /// Takes room for one request with a body of that size; false, and nothing is taken, if there is none.
+  /// Reserves room for one request with a body of `bytes`. Returns false and reserves nothing if there is no room.
   bool tryEnter(std::size_t bytes);
-  /// Gives back what a successful `tryEnter` of the same size took.
+  /// Releases the reservation of a successful `tryEnter` of the same size.
   void leave(std::size_t bytes);
 
   std::size_t requests() const { return requests_; }
   std::size_t bytes() const { return bytes_; }
 
  private:
-  std::size_t most_requests_;
-  std::size_t most_bytes_;
+  std::size_t max_requests_;
+  std::size_t max_bytes_;
   std::size_t requests_ = 0;
   std::size_t bytes_ = 0;
 };
 
-/// A place in the budget, given back when it goes out of scope. The budget outlives it.
+/// Scoped reservation in the budget, released by the destructor. The budget must outlive the reservation.
 class HeldPlace {
  public:
-  /// Tries to enter; `entered` tells whether there was room.
+  /// Tries to reserve room; `entered` reports whether there was room.
   HeldPlace(HoldBudget& budget, std::size_t bytes);
   ~HeldPlace();
   HeldPlace(const HeldPlace&) = delete;
--- a/src/request/admission/load_features.hpp
+++ b/src/request/admission/load_features.hpp
@@ -2,22 +2,22 @@
 
 namespace hatchfork::request {
 
-/// Which decisions under load a process makes. Each acts only where the configuration gives it something to decide on
-/// (limits of tenants, engines that tell their pace); switched off, the process does what it does without it. Equal on
-/// all machines. Source: the table `load` of the settings file.
+/// Switches for load-management features of a process. Each feature acts only if the configuration gives it something
+/// to decide on (limits of tenants, engines that report their speed); if a feature is off, the process behaves as
+/// without it. The values are the same on all machines. Source: the table `load` of the settings file.
 struct LoadFeatures {
-  /// Callers that are turned away for lack of credits get a time at which one is kept for them.
+  /// Callers that are refused for lack of credits get a retry time at which a credit is reserved for them.
   bool return_appointments = true;
-  /// Requests wait at the gateway for what will be there within their objective, most urgent first.
+  /// Requests wait at the gateway for credits that become available within their objective, the most urgent first.
   bool ordered_waiting = true;
-  /// The speed of each engine is learned, and what it tells of its pace is used.
+  /// The speed of each engine is learned, and the speed that it reports is used.
   bool engine_pace = true;
-  /// Requests wait at the store that places them once all places of the zone are taken.
+  /// Requests wait in a queue at the store that places them while all slots of the zone are in use.
   bool zone_line = true;
-  /// Room that is short is shared between tenants by weight.
+  /// Scarce slots are shared between tenants by weight.
   bool fair_shares = true;
-  /// Batch runs begin by least slack into the room that online requests leave. Only where the settings ask for it: it
-  /// makes batch wait for the sake of work that is not run again.
+  /// Batch runs start by least slack into the room that online requests leave. Off by default, because batch items wait
+  /// longer so that less work is repeated.
   bool batch_by_slack = false;
 };
 
--- a/src/request/admission/load_wave.cpp
+++ b/src/request/admission/load_wave.cpp
@@ -7,11 +7,11 @@
 namespace hatchfork::request {
 namespace {
 
-/// The search for a period costs more than a bin, so it is made seldom.
+/// A search for a period costs more than closing a bin, so a search runs only once in this number of bins.
 constexpr std::size_t kBinsBetweenSearches = 5;
-/// Counts a period apart are compared over the last two periods, and over so many bins at least: what was before a load
-/// began says nothing of its wave.
-constexpr std::size_t kFewestCompared = 60;
+/// Least number of bins compared; otherwise the last two periods are compared. Counts from before a load began carry no
+/// information about its cycle.
+constexpr std::size_t kMinComparedBins = 60;
 
 }  // namespace
 
@@ -39,22 +39,22 @@
 }
 
 bool LoadWave::isTrusted() const {
-  return period_bins_ > 0 && distrusted_bins_ == 0;
+  return period_bins_ > 0 && ignored_bins_ == 0;
 }
 
 void LoadWave::note(Instant now, double in_flight) {
   const std::int64_t bin = now.time_since_epoch() / limits_.bin;
   if (bin == open_bin_ && !bins_.empty()) {
     bins_.back() = std::max(bins_.back(), in_flight);
-    // A rise within the bin counts at once.
+    // A rise within the bin takes effect at once.
     forecast_.most[0] = std::max(forecast_.most[0], in_flight);
     return;
   }
   const std::int64_t passed = open_bin_ < 0 ? 1 : std::max<std::int64_t>(1, bin - open_bin_);
-  const auto silent =
-      static_cast<std::size_t>(std::min<std::int64_t>(passed - 1, static_cast<std::int64_t>(mostBins())));
-  // Nothing was told meanwhile: the count stayed as it was, as far as is known.
-  for (std::size_t i = 0; i < silent; ++i) closeBin(level());
+  const auto unreported =
+      static_cast<std::size_t>(std::min<std::int64_t>(passed - 1, static_cast<std::int64_t>(maxBins())));
+  // Without a report the count is taken to have stayed the same.
+  for (std::size_t i = 0; i < unreported; ++i) closeBin(level());
   closeBin(in_flight);
   open_bin_ = bin;
   if (bins_until_search_ == 0) {
@@ -66,12 +66,12 @@
 }
 
 void LoadWave::closeBin(double value) {
-  if (distrusted_bins_ > 0) --distrusted_bins_;
-  if (isTrusted() && value > periodicMost(0, 0) + limits_.surprise * swing_) {
-    distrusted_bins_ = binsIn(limits_.distrusted_for);
+  if (ignored_bins_ > 0) --ignored_bins_;
+  if (isTrusted() && value > periodicPeak(0, 0) + limits_.max_excess * swing_) {
+    ignored_bins_ = binsIn(limits_.ignored_for);
   }
   bins_.push_back(value);
-  if (bins_.size() > mostBins()) bins_.pop_front();
+  if (bins_.size() > maxBins()) bins_.pop_front();
   noteRises();
 }
 
@@ -85,11 +85,11 @@
     rises[span] = bins_.back() - least;
   }
   rises_.push_back(rises);
-  if (rises_.size() > mostBins()) rises_.pop_front();
+  if (rises_.size() > maxBins()) rises_.pop_front();
 }
 
-double LoadWave::likeness(std::size_t lag) const {
-  const std::size_t count = std::min(bins_.size() - lag, std::max(2 * lag, kFewestCompared));
+double LoadWave::correlation(std::size_t lag) const {
+  const std::size_t count = std::min(bins_.size() - lag, std::max(2 * lag, kMinComparedBins));
   const std::size_t first = bins_.size() - lag - count;
   double sum_early = 0;
   double sum_late = 0;
@@ -119,30 +119,31 @@
   const auto [least, most] = std::minmax_element(bins_.begin(), bins_.end());
   swing_ = *most - *least;
   const double mean = std::accumulate(bins_.begin(), bins_.end(), 0.0) / static_cast<double>(bins_.size());
-  if (swing_ < limits_.least_swing * mean) return;
-  // Neighbouring counts are alike anyway: a period begins to count where likeness has gone below zero in between.
-  bool was_unlike = false;
-  double best = limits_.least_likeness;
+  if (swing_ < limits_.min_swing * mean) return;
+  // Neighboring counts are similar in any case: a lag qualifies as a period only after the correlation has been
+  // negative at a shorter lag.
+  bool was_negative = false;
+  double best = limits_.min_correlation;
   for (std::size_t lag = 1; lag <= bins_.size() / 2; ++lag) {
-    const double alike = likeness(lag);
-    was_unlike = was_unlike || alike < 0;
-    if (!was_unlike || lag < shortest || alike <= best) continue;
-    // The shortest of those that are about as good: its multiples are periods as well.
+    const double similarity = correlation(lag);
+    was_negative = was_negative || similarity < 0;
+    if (!was_negative || lag < shortest || similarity <= best) continue;
+    // Prefers the shortest of about equally good lags, since multiples of a period are periods as well.
     if (period_bins_ > 0 && lag > period_bins_ + period_bins_ / 2) break;
-    best = alike;
+    best = similarity;
     period_bins_ = lag;
   }
 }
 
-double LoadWave::periodicMost(std::size_t from, std::size_t to) const {
-  const std::size_t blur = binsIn(limits_.blur);
+double LoadWave::periodicPeak(std::size_t from, std::size_t to) const {
+  const std::size_t time_uncertainty = binsIn(limits_.time_uncertainty);
   double most = 0;
   for (std::size_t period = 1; period <= limits_.periods_used; ++period) {
-    // Bins from the newest backwards; the spans to come that are longer than a period hold the whole of it.
+    // Indexes count backwards from the newest bin. Spans longer than a period cover the whole period.
     const std::size_t back = period * period_bins_;
-    const std::size_t oldest = std::min(back + blur, bins_.size() - 1);
+    const std::size_t oldest = std::min(back + time_uncertainty, bins_.size() - 1);
     const std::size_t oldest_of_span = oldest > from ? oldest - from : 0;
-    const std::size_t newest_of_span = back > to + blur ? back - to - blur : 0;
+    const std::size_t newest_of_span = back > to + time_uncertainty ? back - to - time_uncertainty : 0;
     if (back >= bins_.size()) break;
     for (std::size_t i = newest_of_span; i <= oldest_of_span; ++i) most = std::max(most, bins_[bins_.size() - 1 - i]);
   }
@@ -158,7 +159,7 @@
     double most = std::min(greatest, level() + risen);
     if (trusted) {
       const auto from = static_cast<std::size_t>(LoadForecast::beginOf(span) / limits_.bin);
-      most = std::min(most, periodicMost(from, binsIn(LoadForecast::kEnds[span])));
+      most = std::min(most, periodicPeak(from, binsIn(LoadForecast::kEnds[span])));
     }
     forecast_.most[span] = most;
   }
--- a/src/request/admission/return_schedule.cpp
+++ b/src/request/admission/return_schedule.cpp
@@ -5,70 +5,70 @@
 namespace hatchfork::request {
 namespace {
 
-/// Times that are promised lie apart by the time in which the bucket fills by one credit, in each of two lines: so what
-/// falls due within this many of these times is kept already.
-constexpr double kLines = 2;
+/// Number of sequences of due times. Due times of one sequence are apart by the time in which the bucket gains one
+/// credit, so credits of reservations due within `kSequences` such times are already kept in the bucket.
+constexpr double kSequences = 2;
 
-Duration timeOf(double credits, double rate) {
+Duration timeToGain(double credits, double rate) {
   constexpr double kLongestSeconds = 3600;
   return Duration(static_cast<Duration::rep>(std::min(credits / std::max(rate, 1e-9), kLongestSeconds) * 1e6));
 }
 
 }  // namespace
 
-ReturnSchedule::ReturnSchedule(ReturnScheduleLimits limits) : limits_(limits), fresh_(limits.demand_memory) {}
+ReturnSchedule::ReturnSchedule(ReturnScheduleLimits limits) : limits_(limits), fresh_(limits.demand_averaging_time) {}
 
 void ReturnSchedule::noteArrivals(Instant now, double arrivals) {
   fresh_.note(now, arrivals);
 }
 
-void ReturnSchedule::forget(Timeline::iterator entry, bool is_promised) {
-  const auto [first, last] = known_.equal_range(entry->second);
-  const auto known = std::find_if(first, last, [&](const auto& item) { return item.second.place == entry->first; });
-  if (known != last) known_.erase(known);
-  (is_promised ? promised_ : expected_).erase(entry);
+void ReturnSchedule::removeEntry(Timeline::iterator entry, bool is_reserved) {
+  const auto [first, last] = by_content_.equal_range(entry->second);
+  const auto known = std::find_if(first, last, [&](const auto& item) { return item.second.key == entry->first; });
+  if (known != last) by_content_.erase(known);
+  (is_reserved ? promised_ : expected_).erase(entry);
 }
 
 void ReturnSchedule::expire(Instant now) {
   while (!promised_.empty() && now > promised_.begin()->first.first + limits_.kept_for) {
     ++counters_.lapsed;
-    forget(promised_.begin(), true);
+    removeEntry(promised_.begin(), true);
   }
   while (!expected_.empty() && now > expected_.begin()->first.first + limits_.kept_for)
-    forget(expected_.begin(), false);
+    removeEntry(expected_.begin(), false);
 }
 
 std::size_t ReturnSchedule::kept(Instant now, double rate, double capacity) {
   expire(now);
-  const Instant soon = now + timeOf(kLines, rate);
+  const Instant soon = now + timeToGain(kSequences, rate);
   std::size_t due = 0;
   for (auto entry = promised_.begin(); entry != promised_.end() && entry->first.first <= soon; ++entry) ++due;
-  // More than the bucket holds can't be kept: the oldest promise is given up.
+  // Reservations beyond the capacity of the bucket cannot be kept: the oldest are dropped.
   while (static_cast<double>(due) > std::max(1.0, capacity) && !promised_.empty()) {
     ++counters_.lapsed;
-    forget(promised_.begin(), true);
+    removeEntry(promised_.begin(), true);
     --due;
   }
   return due;
 }
 
-void ReturnSchedule::remember(Instant due, std::uint64_t content, bool is_promised) {
-  Timeline& timeline = is_promised ? promised_ : expected_;
-  const Place place{due, ++last_number_};
-  timeline.emplace(place, content);
-  known_.emplace(content, Known{place, is_promised});
-  if (timeline.size() > limits_.most_expected) forget(timeline.begin(), is_promised);
+void ReturnSchedule::addEntry(Instant due, std::uint64_t content, bool is_reserved) {
+  Timeline& timeline = is_reserved ? promised_ : expected_;
+  const Key key{due, ++last_number_};
+  timeline.emplace(key, content);
+  by_content_.emplace(content, Entry{key, is_reserved});
+  if (timeline.size() > limits_.max_expected) removeEntry(timeline.begin(), is_reserved);
 }
 
-std::optional<ReturnSchedule::Known> ReturnSchedule::recall(std::uint64_t content) {
-  const auto [first, last] = known_.equal_range(content);
+std::optional<ReturnSchedule::Entry> ReturnSchedule::takeEntry(std::uint64_t content) {
+  const auto [first, last] = by_content_.equal_range(content);
   if (first == last) return std::nullopt;
-  // Of several with the same content, the one that is due first.
+  // Of several entries with the same content, the one that is due first is used.
   const auto earliest =
-      std::min_element(first, last, [](const auto& a, const auto& b) { return a.second.place < b.second.place; });
-  const Known found = earliest->second;
-  (found.is_promised ? promised_ : expected_).erase(found.place);
-  known_.erase(earliest);
+      std::min_element(first, last, [](const auto& a, const auto& b) { return a.second.key < b.second.key; });
+  const Entry found = earliest->second;
+  (found.is_reserved ? promised_ : expected_).erase(found.key);
+  by_content_.erase(earliest);
   return found;
 }
 
@@ -77,64 +77,64 @@
   return std::clamp(rate - fresh_.rate(now), 0.0, rate);
 }
 
-std::optional<Instant> ReturnSchedule::nextPlace(Instant now, Instant& line, double rate, Duration longest) {
+std::optional<Instant> ReturnSchedule::nextDue(Instant now, Instant& last_due, double rate, Duration longest) {
   if (rate <= 0) return std::nullopt;
-  const Instant place = std::max(line, now) + timeOf(1, rate);
-  if (place > now + longest) return std::nullopt;
-  line = place;
-  return place;
+  const Instant due = std::max(last_due, now) + timeToGain(1, rate);
+  if (due > now + longest) return std::nullopt;
+  last_due = due;
+  return due;
 }
 
 CreditReply ReturnSchedule::judge(Instant now, const CreditAsk& ask, double rate, double capacity, double level) {
   expire(now);
-  const std::optional<Known> known = recall(ask.content);
-  if (known && known->is_promised) return judgeKept(now, ask, known->place.first, rate, level);
+  const std::optional<Entry> known = takeEntry(ask.content);
+  if (known && known->is_reserved) return judgeReserved(now, ask, known->key.first, rate, level);
   if (known) fresh_.note(now, -1);
   const double free = level - static_cast<double>(kept(now, rate, capacity));
-  // While fresh requests take the whole limit, one that comes back takes nothing from them.
-  const bool is_plenty = free >= rate * toSeconds(limits_.plenty);
-  const bool is_before = !known || spare(now, rate) > 0;
-  const bool may_take = is_plenty || (is_before && order_.mayTake(now, ask.rank, rate));
+  // While fresh requests use the whole limit, a retried request takes nothing from them.
+  const bool has_plenty = free >= rate * toSeconds(limits_.plenty_time);
+  const bool may_compete = !known || spare(now, rate) > 0;
+  const bool may_take = has_plenty || (may_compete && order_.mayTake(now, ask.rank, rate));
   if (free >= 1 && may_take) {
     order_.noteTaken(now, ask.rank);
     return {ask.content, CreditOutcome::kGranted, {}};
   }
   if (!known) order_.noteLacked(now, ask.rank);
-  return known ? judgeReturned(now, ask, rate) : judgeFresh(now, ask, rate);
+  return known ? judgeRetried(now, ask, rate) : judgeFresh(now, ask, rate);
 }
 
-CreditReply ReturnSchedule::judgeKept(Instant now, const CreditAsk& ask, Instant due, double rate, double level) {
-  const bool is_early = now + timeOf(kLines, rate) < due;
+CreditReply ReturnSchedule::judgeReserved(Instant now, const CreditAsk& ask, Instant due, double rate, double level) {
+  const bool is_early = now + timeToGain(kSequences, rate) < due;
   if (!is_early && level >= 1) {
     ++counters_.used;
     return {ask.content, CreditOutcome::kGranted, {}};
   }
-  // Early, or the limit was lowered: its place stays.
-  const Instant next = std::max(due, now + timeOf(std::max(0.0, 1 - level), rate));
-  remember(next, ask.content, true);
-  const bool waits_here = next <= now + std::max({ask.in_time, ask.at_all, limits_.early});
-  return {ask.content, waits_here ? CreditOutcome::kWait : CreditOutcome::kReturn, next - now};
+  // Early, or the limit was lowered: the reservation stays.
+  const Instant next = std::max(due, now + timeToGain(std::max(0.0, 1 - level), rate));
+  addEntry(next, ask.content, true);
+  const bool waits_at_gateway = next <= now + std::max({ask.in_time, ask.at_all, limits_.max_early});
+  return {ask.content, waits_at_gateway ? CreditOutcome::kWait : CreditOutcome::kReturn, next - now};
 }
 
 CreditReply ReturnSchedule::judgeFresh(Instant now, const CreditAsk& ask, double rate) {
-  const double line_rate = std::max(limits_.floor_part * rate, limits_.spare_part * spare(now, rate));
-  if (const auto place = nextPlace(now, away_line_, line_rate, ask.away)) {
+  const double sequence_rate = std::max(limits_.floor_share * rate, limits_.spare_share * spare(now, rate));
+  if (const auto due = nextDue(now, last_refused_due_, sequence_rate, ask.away)) {
     ++counters_.promised;
-    remember(*place, ask.content, true);
-    const bool waits_here = *place <= now + ask.in_time;
-    return {ask.content, waits_here ? CreditOutcome::kWait : CreditOutcome::kReturn, *place - now};
+    addEntry(*due, ask.content, true);
+    const bool waits_at_gateway = *due <= now + ask.in_time;
+    return {ask.content, waits_at_gateway ? CreditOutcome::kWait : CreditOutcome::kReturn, *due - now};
   }
   ++counters_.unkept;
-  remember(now + ask.away, ask.content, false);
+  addEntry(now + ask.away, ask.content, false);
   return {ask.content, CreditOutcome::kReturnUnkept, ask.away};
 }
 
-CreditReply ReturnSchedule::judgeReturned(Instant now, const CreditAsk& ask, double rate) {
-  const double line_rate = limits_.spare_part * spare(now, rate);
-  if (const auto place = nextPlace(now, late_line_, line_rate, std::max(ask.in_time, ask.at_all))) {
+CreditReply ReturnSchedule::judgeRetried(Instant now, const CreditAsk& ask, double rate) {
+  const double sequence_rate = limits_.spare_share * spare(now, rate);
+  if (const auto due = nextDue(now, last_late_due_, sequence_rate, std::max(ask.in_time, ask.at_all))) {
     ++counters_.promised;
-    remember(*place, ask.content, true);
-    return {ask.content, CreditOutcome::kWait, *place - now};
+    addEntry(*due, ask.content, true);
+    return {ask.content, CreditOutcome::kWait, *due - now};
   }
   ++counters_.refused_again;
   return {ask.content, CreditOutcome::kRefused, ask.away};
--- a/src/request/admission/return_schedule.hpp
+++ b/src/request/admission/return_schedule.hpp
@@ -10,56 +10,63 @@
 #include "request/limits/rate_credit.hpp"
 #include "request/limits/rate_meter.hpp"
 
-/// Answers the load of a tenant that sends many times its usual for some seconds: whoever is refused has one return,
-/// and must not come back into the surge while credits stand unused after it.
+/// Reserves rate-limit credits for retries of refused requests. If a tenant sends many times its usual load for some
+/// seconds, each refused caller has one retry. The retry must not arrive during the surge while credits remain unused
+/// after it.
 namespace hatchfork::request {
 
 struct ReturnScheduleLimits {
-  /// Part of the limit that is promised ahead while fresh requests alone take all of it, so that those who were sent
-  /// away are not starved. Small: a fresh request is worth more to its caller than one that was sent away before.
-  double floor_part = 0.05;
-  /// Part of what fresh requests leave that is promised to each of: callers that are sent away, and returned requests
-  /// that wait for a late answer. The rest fills the bucket, from which the next wave of fresh requests lives.
-  double spare_part = 0.5;
-  /// How long a promised credit is kept for a caller that does not come.
+  /// Part of the limit that is reserved ahead while fresh requests alone use the whole limit, so that refused callers
+  /// are not starved. Small, because a fresh request is worth more to its caller than a request that was refused
+  /// before.
+  double floor_share = 0.05;
+  /// Part of the rate left by fresh requests that is reserved for each of: refused callers, and retried requests that
+  /// wait for a late answer. The rest fills the bucket, which serves the next rise of fresh requests.
+  double spare_share = 0.5;
+  /// How long a reserved credit is kept for a caller that does not come.
   Duration kept_for = fromMillis(400);
-  /// A caller that comes earlier than its time by no more than this waits at its gateway.
-  Duration early = fromMillis(250);
-  /// Callers that were sent away and are still expected: the oldest are forgotten, and taken for fresh when they come.
-  std::size_t most_expected = 4096;
-  /// Time over which fresh requests are averaged.
-  Duration demand_memory = fromMillis(200);
-  /// A bucket that holds what its limit gives in this time is not taken up by fresh requests, whatever was measured.
-  Duration plenty = fromMillis(100);
+  /// A caller that is early by no more than this waits at its gateway.
+  Duration max_early = fromMillis(250);
+  /// Bound on the refused callers that are remembered. Above it the oldest are dropped, and count as fresh when they
+  /// retry.
+  std::size_t max_expected = 4096;
+  /// Averaging time of the rate of fresh requests.
+  Duration demand_averaging_time = fromMillis(200);
+  /// A bucket that holds the credits of this time is taken to have spare credits, whatever rate of fresh requests was
+  /// measured.
+  Duration plenty_time = fromMillis(100);
 };
 
 struct ReturnCounters {
   std::uint64_t promised = 0;
-  /// Of these, used by the request they were kept for, and fallen to others since it did not come.
+  /// Reservations used by the request they were made for, and reservations that expired because the request did not
+  /// come.
   std::uint64_t used = 0;
   std::uint64_t lapsed = 0;
-  /// Callers that were sent away without a credit kept for them, and those of them that were refused again.
+  /// Callers refused without a reservation, and those of them that were refused again.
   std::uint64_t unkept = 0;
   std::uint64_t refused_again = 0;
 };
 
-/// Future credits of one tenant's limit, handed out in order. They come out of the tenant's own bucket: a promise is a
-/// part of its level that no other request may touch from the promised time on, so that no promise raises what the
-/// bucket grants, and a promise that nobody fetches falls to the others by itself. Promised times lie so far apart that
-/// the bucket fills between them. No I/O, no clock. Belongs to one thread.
+/// Reservations of future credits of one tenant's limit, in order of time. Reserved credits come out of the tenant's
+/// own bucket: from its due time on, a reservation is a part of the bucket level that no other request may use. So no
+/// reservation raises what the bucket grants, and the credit of an expired reservation becomes available to all
+/// requests. Due times are spaced so that the bucket fills between them. No I/O, no clock. Not thread-safe.
 ///
-/// Cost: a request costs one look-up; what is remembered is bounded by `most_expected`, and by time.
+/// Cost: one look-up per request. Memory is bounded by `max_expected` and by time.
 class ReturnSchedule {
  public:
   explicit ReturnSchedule(ReturnScheduleLimits limits = {});
 
-  /// Fresh and returned requests that came to gateways.
+  /// Records fresh and retried requests that arrived at gateways.
   void noteArrivals(Instant now, double arrivals);
-  /// Credits of the bucket that are kept for those whose time has come. `rate` is the limit, `capacity` the bucket's.
+  /// Returns the number of credits of the bucket reserved for callers that are due. `rate` is the limit in credits per
+  /// second, `capacity` the size of the bucket.
   std::size_t kept(Instant now, double rate, double capacity);
-  /// Judges a request where the bucket holds `level` credits. One is to be taken from it if the outcome is `kGranted`.
+  /// Decides on a request while the bucket holds `level` credits. The caller takes one credit from the bucket if the
+  /// outcome is `kGranted`.
   CreditReply judge(Instant now, const CreditAsk& ask, double rate, double capacity, double level);
-  /// Until when fresh requests take the whole limit, as far as is known, nothing but the floor is promised.
+  /// Assumes until `until` that fresh requests use the whole limit; only `floor_share` is reserved until then.
   void assumeFullUntil(Instant until) { full_until_ = until; }
 
   const ReturnCounters& counters() const { return counters_; }
@@ -67,25 +74,26 @@
   std::size_t expected() const { return expected_.size(); }
 
  private:
-  /// Due time and a running number.
-  using Place = std::pair<Instant, std::uint64_t>;
-  using Timeline = std::map<Place, std::uint64_t>;
-  struct Known {
-    Place place;
-    bool is_promised = false;
+  /// Due time and a sequence number.
+  using Key = std::pair<Instant, std::uint64_t>;
+  using Timeline = std::map<Key, std::uint64_t>;
+  struct Entry {
+    Key key;
+    bool is_reserved = false;
   };
 
   void expire(Instant now);
-  void remember(Instant due, std::uint64_t content, bool is_promised);
-  void forget(Timeline::iterator entry, bool is_promised);
-  /// What was agreed with a caller that has come back; it is forgotten here.
-  std::optional<Known> recall(std::uint64_t content);
+  void addEntry(Instant due, std::uint64_t content, bool is_reserved);
+  void removeEntry(Timeline::iterator entry, bool is_reserved);
+  /// Removes and returns the entry of a caller that has come back.
+  std::optional<Entry> takeEntry(std::uint64_t content);
   double spare(Instant now, double rate) const;
-  /// The next time of a line of promises that goes at `rate`, if it comes within `longest`.
-  static std::optional<Instant> nextPlace(Instant now, Instant& line, double rate, Duration longest);
-  CreditReply judgeKept(Instant now, const CreditAsk& ask, Instant due, double rate, double level);
+  /// Advances `last_due`, the last due time of a sequence that grows at `rate`, and returns the new due time; empty,
+  /// and `last_due` unchanged, if it is later than `longest` from now.
+  static std::optional<Instant> nextDue(Instant now, Instant& last_due, double rate, Duration longest);
+  CreditReply judgeReserved(Instant now, const CreditAsk& ask, Instant due, double rate, double level);
   CreditReply judgeFresh(Instant now, const CreditAsk& ask, double rate);
-  CreditReply judgeReturned(Instant now, const CreditAsk& ask, double rate);
+  CreditReply judgeRetried(Instant now, const CreditAsk& ask, double rate);
 
   ReturnScheduleLimits limits_;
   RateMeter fresh_;
@@ -93,11 +101,11 @@
   Instant full_until_{};
   Timeline promised_;
   Timeline expected_;
-  std::unordered_multimap<std::uint64_t, Known> known_;
+  std::unordered_multimap<std::uint64_t, Entry> by_content_;
   std::uint64_t last_number_ = 0;
-  /// The last promised time of those sent away, and of those that wait for a late answer.
-  Instant away_line_{};
-  Instant late_line_{};
+  /// Last reserved due time of refused callers, and of requests that wait for a late answer.
+  Instant last_refused_due_{};
+  Instant last_late_due_{};
   ReturnCounters counters_;
 };
 
--- a/src/request/admission/start_hold.cpp
+++ b/src/request/admission/start_hold.cpp
@@ -5,31 +5,32 @@
 namespace hatchfork::request {
 namespace {
 
-/// A gateway serves within this time of its start wherever the control processes have a leader, or find one at once.
-/// A start that takes longer waits for something else, and nobody knows for how long.
-constexpr Duration kUsualStart = fromMillis(600);
-/// Nobody waits longer than this, so that one who is refused after all has lost less than by a return.
-constexpr Duration kLongestHold = fromMillis(400);
-/// Of the time that a caller still has, this part at the most: the rest is for the request itself, or for a return.
-constexpr int kHeldPartOfRemaining = 3;
-/// Least time in which a refused caller comes back, and over how much more returns are spread.
-constexpr Duration kShortestComeBack = fromMillis(250);
-constexpr Duration kComeBackSpread = fromMillis(500);
+/// Usual time from the start of a gateway to its first configuration if the control processes have a leader or elect
+/// one at once. A longer startup waits for some other cause, and its end cannot be predicted.
+constexpr Duration kUsualStartup = fromMillis(600);
+/// Upper bound of the buffering time, so that a request that is refused after all loses less time than by a retry.
+constexpr Duration kMaxBuffering = fromMillis(400);
+/// Divisor of the remaining time of a caller: a request is buffered for this part at most. The rest is for serving the
+/// request, or for a retry.
+constexpr int kRemainingDivisor = 3;
+/// Least retry delay, and the range of its random jitter.
+constexpr Duration kMinRetryDelay = fromMillis(250);
+constexpr Duration kRetryJitter = fromMillis(500);
 
 }  // namespace
 
 StartDecision StartHold::decide(Instant now, const EarlyArrival& arrival) {
-  Instant until = std::min(arrival.received_at + kLongestHold, started_at_ + kUsualStart);
-  if (arrival.remaining) until = std::min(until, arrival.received_at + *arrival.remaining / kHeldPartOfRemaining);
+  Instant until = std::min(arrival.received_at + kMaxBuffering, started_at_ + kUsualStartup);
+  if (arrival.remaining) until = std::min(until, arrival.received_at + *arrival.remaining / kRemainingDivisor);
   const Duration come_back_after = comeBackAfter(std::max(now, until));
   if (until <= now) return {std::nullopt, come_back_after};
   return {until, come_back_after};
 }
 
 Duration StartHold::comeBackAfter(Instant now) {
-  std::uniform_int_distribution<Duration::rep> spread(0, kComeBackSpread.count());
-  const Duration until_usual = started_at_ + kUsualStart - now;
-  return std::max(kShortestComeBack, until_usual) + Duration(spread(random_));
+  std::uniform_int_distribution<Duration::rep> jitter(0, kRetryJitter.count());
+  const Duration until_usual_end = started_at_ + kUsualStartup - now;
+  return std::max(kMinRetryDelay, until_usual_end) + Duration(jitter(random_));
 }
 
 }  // namespace hatchfork::request
--- a/src/request/admission/start_hold.hpp
+++ b/src/request/admission/start_hold.hpp
@@ -8,32 +8,33 @@
 
 namespace hatchfork::request {
 
-/// A request that came to a gateway that can't serve yet.
+/// A request that arrived at a gateway that cannot serve yet.
 struct EarlyArrival {
   Instant received_at{};
-  /// How long the caller will still wait, where it told so.
+  /// Time for which the caller will still wait, if the caller reported it.
   std::optional<Duration> remaining;
 };
 
-/// What to do with it. Held until `until`, or refused at once.
+/// Decision on an early request: buffered until `until`, or refused at once.
 struct StartDecision {
-  /// Absent: refused.
+  /// Empty if the request is refused.
   std::optional<Instant> until;
-  /// Refused, now or at `until`: when the caller is to come back.
+  /// Delay after which the caller should retry if the request is refused, now or at `until`.
   Duration come_back_after{};
 };
 
-/// Decides which requests a gateway holds that has started and knows no configuration yet. Answers the load of a whole
-/// fleet that lost power or was killed under full traffic: each gateway takes its callers again some hundred
-/// milliseconds before it can serve them, and a refusal sends each away for longer than the rest of the start takes. A
-/// request is held only within what its caller can use, and only while the start may still end soon; later ones are
+/// Decides which requests a gateway buffers between its start and its first configuration. After a power loss or a
+/// crash of the whole fleet under full traffic, each gateway accepts connections some hundred milliseconds before it
+/// can serve, and a refusal sends a caller away for longer than the rest of the startup takes. A request is buffered
+/// only for as long as its caller can still use the answer, and only while startup may end soon; later requests are
 /// refused at once. No I/O, no clock.
 class StartHold {
  public:
   StartHold(Instant started_at, std::uint64_t seed) : started_at_(started_at), random_(seed) {}
 
   StartDecision decide(Instant now, const EarlyArrival& arrival);
-  /// When a caller is to come back that is refused now: after the expected end of the start, not all at once.
+  /// Retry delay for a caller refused now: after the expected end of the startup, with jitter so that not all callers
+  /// retry at once.
   Duration comeBackAfter(Instant now);
 
  private:
--- a/src/request/admission/yield_choice.cpp
+++ b/src/request/admission/yield_choice.cpp
@@ -4,8 +4,8 @@
 namespace {
 
 bool hasSlack(Instant now, const YieldCandidate& candidate, Duration whole_time, const YieldLimits& limits) {
-  const double left = toSeconds(slackOf(now, candidate.order) - limits.away_for);
-  return left >= limits.least_slack_runs * toSeconds(whole_time);
+  const double left = toSeconds(slackOf(now, candidate.order) - limits.min_restart_delay);
+  return left >= limits.min_slack_runs * toSeconds(whole_time);
 }
 
 }  // namespace
@@ -24,18 +24,18 @@
       continue;
     }
     const YieldCandidate& other = candidates[*best];
-    bool goes_first = false;
+    bool is_better = false;
     if (has_slack != best_has_slack) {
-      goes_first = has_slack;
+      is_better = has_slack;
     } else if (candidate.can_resume != other.can_resume) {
-      // A run without an event that it could go on after would begin anew.
-      goes_first = candidate.can_resume;
+      // A run without an event to resume after would start from the beginning.
+      is_better = candidate.can_resume;
     } else if (has_slack && candidate.events != other.events) {
-      goes_first = candidate.events < other.events;
+      is_better = candidate.events < other.events;
     } else {
-      goes_first = goesBefore(now, other.order, candidate.order);
+      is_better = goesBefore(now, other.order, candidate.order);
     }
-    if (!goes_first) continue;
+    if (!is_better) continue;
     best = i;
     best_has_slack = has_slack;
   }
--- a/src/request/admission/yield_choice.hpp
+++ b/src/request/admission/yield_choice.hpp
@@ -10,26 +10,26 @@
 
 namespace hatchfork::request {
 
-/// A batch run at an engine whose place an online request needs.
+/// A batch run whose slot an online request needs.
 struct YieldCandidate {
-  /// Events that its item has made over all its runs.
+  /// Number of events that the item has produced over all its runs.
   std::uint64_t events = 0;
-  /// A later run can go on after the last event.
+  /// True if a later run can resume after the last event.
   bool can_resume = false;
   DueItem order;
 };
 
 struct YieldLimits {
-  /// An item that gives way begins again this much later at the soonest.
-  Duration away_for = fromMillis(200);
-  /// An item has slack enough to give way while it has so many whole runs of it left afterwards.
-  double least_slack_runs = 0.5;
+  /// Least delay before a preempted item starts again.
+  Duration min_restart_delay = fromMillis(200);
+  /// An item has enough slack to be preempted if its slack afterwards is at least this number of whole runs.
+  double min_slack_runs = 0.5;
 };
 
-/// Which run is to give way. Answers a wave of online requests that comes sooner than batch could leave: no run that
-/// ends by itself within `needed_within` is cut; of those with slack enough the one with the least done; where none has
-/// slack enough, the one with the most slack. Nothing if each of them ends in time by itself. `whole_time`: of a whole
-/// run.
+/// Returns the index of the run to preempt for an online request. Online load can rise faster than batch runs finish. A
+/// run that ends by itself within `needed_within` is never chosen. Of the runs with enough slack, the run with the
+/// least progress is chosen; if no run has enough slack, the run with the most slack. Empty if each run ends in time by
+/// itself. `whole_time` is the duration of a whole run.
 std::optional<std::size_t> chooseYield(Instant now, const std::vector<YieldCandidate>& candidates,
                                        Duration needed_within, Duration whole_time, const YieldLimits& limits = {});
 
--- a/src/request/admission/zone_line.cpp
+++ b/src/request/admission/zone_line.cpp
@@ -6,43 +6,43 @@
 namespace hatchfork::request {
 
 bool ZoneLine::enter(Instant now, LineNumber number, const Standing& standing) {
-  if (standing_.size() >= limits_.most_standing || standing_.contains(number)) return false;
-  const Place place(standing.has_returned, standing.share, standing.latest_start, ++entered_);
-  standing_.emplace(number, Member{standing, place, now});
-  classes_[standing.priority].emplace(place, number);
-  latest_.emplace(standing.latest_start, number);
+  if (queued_.size() >= limits_.max_queued || queued_.contains(number)) return false;
+  const SortKey key(standing.has_returned, standing.share, standing.latest_start, ++last_sequence_);
+  queued_.emplace(number, Queued{standing, key, now});
+  classes_[standing.priority].emplace(key, number);
+  by_latest_start_.emplace(standing.latest_start, number);
   return true;
 }
 
 bool ZoneLine::leave(LineNumber number) {
-  const auto found = standing_.find(number);
-  if (found == standing_.end()) return false;
-  const Member& member = found->second;
-  const auto its_class = classes_.find(member.standing.priority);
-  its_class->second.erase(member.place);
-  if (its_class->second.empty()) classes_.erase(its_class);
-  latest_.erase({member.standing.latest_start, number});
-  standing_.erase(found);
+  const auto found = queued_.find(number);
+  if (found == queued_.end()) return false;
+  const Queued& member = found->second;
+  const auto class_entry = classes_.find(member.standing.priority);
+  class_entry->second.erase(member.key);
+  if (class_entry->second.empty()) classes_.erase(class_entry);
+  by_latest_start_.erase({member.standing.latest_start, number});
+  queued_.erase(found);
   return true;
 }
 
 void ZoneLine::noteServed(LineNumber number) {
-  const auto found = standing_.find(number);
-  if (found == standing_.end()) return;
+  const auto found = queued_.find(number);
+  if (found == queued_.end()) return;
   const bool is_urgent = found->second.standing.priority == classes_.begin()->first;
-  const bool others_wait = classes_.size() > 1;
-  given_to_urgent_ = is_urgent && others_wait ? given_to_urgent_ + 1 : 0;
+  const bool less_urgent_wait = classes_.size() > 1;
+  given_to_urgent_ = is_urgent && less_urgent_wait ? given_to_urgent_ + 1 : 0;
   leave(number);
 }
 
 std::vector<LineNumber> ZoneLine::first(std::size_t most) const {
   std::vector<LineNumber> numbers;
-  const bool from_floor = isFloorsTurn();
-  if (from_floor && most > 0) numbers.push_back(classes_.rbegin()->second.begin()->second);
+  const bool is_floor_due = isFloorDue();
+  if (is_floor_due && most > 0) numbers.push_back(classes_.rbegin()->second.begin()->second);
   for (const auto& [priority, members] : classes_) {
-    for (const auto& [place, number] : members) {
+    for (const auto& [key, number] : members) {
       if (numbers.size() >= most) return numbers;
-      if (from_floor && number == numbers.front()) continue;
+      if (is_floor_due && number == numbers.front()) continue;
       numbers.push_back(number);
     }
   }
@@ -51,7 +51,7 @@
 
 std::vector<LineNumber> ZoneLine::late(Instant now) const {
   std::vector<LineNumber> numbers;
-  for (const auto& [latest_start, number] : latest_) {
+  for (const auto& [latest_start, number] : by_latest_start_) {
     if (latest_start > now) break;
     numbers.push_back(number);
   }
@@ -62,25 +62,26 @@
   std::size_t count = 0;
   for (const auto& [priority, members] : classes_) {
     if (priority > standing.priority) break;
-    // Within its class most stand before one that has just come; exact where that is not so.
+    // Most requests of the class are ahead of a new request, so distances are counted from the end; the count is exact
+    // in any case.
     if (priority < standing.priority) {
       count += members.size();
       continue;
     }
-    const Place place(standing.has_returned, standing.share, standing.latest_start, entered_ + 1);
-    const auto behind = members.lower_bound(place);
+    const SortKey key(standing.has_returned, standing.share, standing.latest_start, last_sequence_ + 1);
+    const auto behind = members.lower_bound(key);
     count += members.size() - static_cast<std::size_t>(std::distance(behind, members.end()));
   }
   return count;
 }
 
 std::size_t ZoneLine::aheadOf(LineNumber number) const {
-  const auto found = standing_.find(number);
-  if (found == standing_.end()) return 0;
+  const auto found = queued_.find(number);
+  if (found == queued_.end()) return 0;
   std::size_t count = 0;
   for (const auto& [priority, members] : classes_) {
     if (priority == found->second.standing.priority) {
-      return count + static_cast<std::size_t>(std::distance(members.begin(), members.find(found->second.place)));
+      return count + static_cast<std::size_t>(std::distance(members.begin(), members.find(found->second.key)));
     }
     count += members.size();
   }
--- a/src/request/admission/zone_line.hpp
+++ b/src/request/admission/zone_line.hpp
@@ -10,81 +10,83 @@
 
 #include "common/time.hpp"
 
-/// Load that this answers: a jump above what the engines of a zone bear at once. In engines' own queues requests wait
-/// in the order of their arrival, at whichever engine was chosen before it was known which place falls free first; one
-/// that is late already makes the next one late.
+/// Queue of requests for a zone whose engines are at capacity. Queues of single engines serve requests in order of
+/// arrival, at an engine chosen before it is known where a slot becomes free first, and one late request makes the next
+/// request late.
 namespace hatchfork::request {
 
 struct ZoneLineLimits {
-  /// Requests that may stand at once, of one service.
-  std::size_t most_standing = 4000;
-  /// Each time that so many places were given while a less urgent class waits, its first one has the next.
+  /// Bound on the queued requests of one service.
+  std::size_t max_queued = 4000;
+  /// While a less urgent class waits, the least urgent class gets one of this number of slots.
   std::uint32_t floor_every = 8;
 };
 
-/// Names a request in the line for the one who keeps it.
+/// Identifies a queued request; chosen by the caller.
 using LineNumber = std::uint64_t;
 
-/// A request as the line orders it.
+/// Properties that determine the order of a queued request.
 struct Standing {
-  /// Rank of its class; lower ones are more urgent.
+  /// Rank of the request class; lower ranks are more urgent.
   std::uint32_t priority = 0;
-  /// It was refused before and has come back: it is late already, so it lets fresh ones of its class go first.
+  /// True if the request was refused before and is a retry: it is late already, so fresh requests of its class go
+  /// first.
   bool has_returned = false;
-  /// Start of its share of the room, as its tenant's virtual time; equal for all where tenants share nothing.
+  /// Virtual start time of the request in its tenant's share (`Turn::start`); equal for all requests if tenants share
+  /// nothing.
   double share = 0;
-  /// From when on it can't be in time any more.
+  /// Latest time at which the request can start and still be in time.
   Instant latest_start{};
-  /// False for one that is better late than refused: its caller has a part of its answer.
+  /// False if a late answer is better than a refusal: the caller has already received a part of the answer.
   bool may_be_refused = true;
 };
 
-/// Requests of one service that wait for a place at any engine, in the order in which they get one: by class, fresh
-/// ones first, by share, by slack. No I/O, no clock, and it does not know places. Belongs to one thread.
+/// Requests of one service that wait for a slot at any engine, in scheduling order: by class, fresh requests before
+/// retries, by share, by slack. Slots are tracked by the caller. No I/O, no clock. Not thread-safe.
 class ZoneLine {
  public:
   explicit ZoneLine(ZoneLineLimits limits = {}) : limits_(limits) {}
 
-  /// False if the line is full, or holds the number.
+  /// Adds a request. Returns false if the queue is full or already contains the number.
   bool enter(Instant now, LineNumber number, const Standing& standing);
-  /// It was given a place, or has left for another cause. False if it does not stand here.
+  /// Removes a request for any reason. Returns false if the request is not queued.
   bool leave(LineNumber number);
-  /// A place was given to the number, which leaves: counts for the floor of those behind.
+  /// Removes a request that got a slot, and counts the slot for the floor of less urgent classes.
   void noteServed(LineNumber number);
-  /// The first ones, in the order in which a place is to be offered to them; at most so many.
+  /// Returns the first requests, at most `most`, in the order in which slots are to be offered to them.
   std::vector<LineNumber> first(std::size_t most) const;
-  /// Those that can't be in time any more; they stand until they leave.
+  /// Returns the requests whose latest start has passed; they stay queued until they leave.
   std::vector<LineNumber> late(Instant now) const;
-  /// Requests that get a place before one of this standing that enters now.
+  /// Returns the number of requests that would be served before a request with these properties added now.
   std::size_t ahead(const Standing& standing) const;
   std::size_t aheadOf(LineNumber number) const;
 
-  std::size_t size() const { return standing_.size(); }
-  bool isEmpty() const { return standing_.empty(); }
-  bool has(LineNumber number) const { return standing_.contains(number); }
-  const Standing& at(LineNumber number) const { return standing_.at(number).standing; }
-  Duration waited(Instant now, LineNumber number) const { return now - standing_.at(number).entered; }
+  std::size_t size() const { return queued_.size(); }
+  bool isEmpty() const { return queued_.empty(); }
+  bool has(LineNumber number) const { return queued_.contains(number); }
+  const Standing& at(LineNumber number) const { return queued_.at(number).standing; }
+  Duration waited(Instant now, LineNumber number) const { return now - queued_.at(number).enqueued_at; }
 
  private:
-  /// Order within a class.
-  using Place = std::tuple<bool, double, Instant, std::uint64_t>;
-  using Class = std::map<Place, LineNumber>;
-  struct Member {
+  /// Sort key within a class.
+  using SortKey = std::tuple<bool, double, Instant, std::uint64_t>;
+  using Class = std::map<SortKey, LineNumber>;
+  struct Queued {
     Standing standing;
-    Place place;
-    Instant entered{};
+    SortKey key;
+    Instant enqueued_at{};
   };
 
-  /// True if the next place belongs to a less urgent class.
-  bool isFloorsTurn() const { return classes_.size() > 1 && given_to_urgent_ + 1 >= limits_.floor_every; }
+  /// True if the next slot belongs to the least urgent class.
+  bool isFloorDue() const { return classes_.size() > 1 && given_to_urgent_ + 1 >= limits_.floor_every; }
 
   ZoneLineLimits limits_;
   std::map<std::uint32_t, Class> classes_;
-  std::unordered_map<LineNumber, Member> standing_;
-  /// By when they can't be in time.
-  std::set<std::pair<Instant, LineNumber>> latest_;
-  std::uint64_t entered_ = 0;
-  /// Places that the most urgent class was given since the last one of another class.
+  std::unordered_map<LineNumber, Queued> queued_;
+  /// Queued requests by latest start.
+  std::set<std::pair<Instant, LineNumber>> by_latest_start_;
+  std::uint64_t last_sequence_ = 0;
+  /// Slots given to the most urgent class since the last slot of another class.
   std::uint32_t given_to_urgent_ = 0;
 };
 
--- a/src/request/admission/zone_load.hpp
+++ b/src/request/admission/zone_load.hpp
@@ -2,7 +2,7 @@
 
 namespace hatchfork::request {
 
-/// What one zone's engines of a service can run, and what they run of others than batch.
+/// Slots of the engines of one service in one zone, and the requests other than batch in flight there.
 struct ZoneLoad {
   double slots = 0;
   double online = 0;
--- a/tests/request/admission/byte_budget_test.cpp
+++ b/tests/request/admission/byte_budget_test.cpp
@@ -31,7 +31,8 @@
 
 }  // namespace
 
-TEST_CASE("A peer that takes nothing is let go after its patience, one that reads on is kept", "[byte_budget]") {
+TEST_CASE("A peer that accepts nothing counts as slow after the timeout, a peer that reads on does not",
+          "[byte_budget]") {
   ByteBudget budget = budgetOf();
   const HeldId silent = offered(budget, kStart, 100);
   const HeldId reading = offered(budget, kStart, 100);
@@ -44,7 +45,7 @@
   CHECK(slow[0].silent_for == std::chrono::seconds(10));
 }
 
-TEST_CASE("What is only collected makes nobody a slow reader", "[byte_budget]") {
+TEST_CASE("A buffer that is not offered makes no peer slow", "[byte_budget]") {
   ByteBudget budget = budgetOf();
   const HeldId held = budget.hold(2 * kBound);
   CHECK(budget.slowPeers(after(100)).empty());
@@ -53,7 +54,8 @@
   CHECK(budget.slowPeers(after(100.5)).size() == 1);
 }
 
-TEST_CASE("Under pressure the greediest goes first, and no more than needed", "[byte_budget]") {
+TEST_CASE("Under pressure the peer with the largest buffer is slow first, and no more peers than needed",
+          "[byte_budget]") {
   ByteBudget budget = budgetOf();
   offered(budget, kStart, 200);
   const HeldId greediest = offered(budget, kStart, 300);
@@ -64,7 +66,7 @@
   CHECK(slow[0].held == greediest);
 }
 
-TEST_CASE("Those who collect wait at three quarters of the bound, but never all for each other", "[byte_budget]") {
+TEST_CASE("Growing buffers wait at three quarters of the bound, but never all for each other", "[byte_budget]") {
   ByteBudget budget = budgetOf();
   const HeldId kept = budget.hold(100);
   const HeldId oldest = budget.beginCollecting();
@@ -76,41 +78,42 @@
   CHECK_FALSE(budget.hasRoom());
   CHECK(budget.mayGrow(oldest));
   CHECK_FALSE(budget.mayGrow(next));
-  // What is only kept is nobody's turn.
+  // Buffers that are not growing never get the exception for the oldest.
   CHECK_FALSE(budget.mayGrow(kept));
   budget.release(oldest);
   CHECK(budget.mayGrow(next));
 }
 
-TEST_CASE("Nobody collects beyond the room while peers are to take what they were offered", "[byte_budget]") {
+TEST_CASE("No buffer grows beyond the room while peers have much to read", "[byte_budget]") {
   ByteBudget budget = budgetOf();
   offered(budget, kStart, 300);
   const HeldId oldest = budget.beginCollecting();
   budget.add(oldest, 500);
   CHECK_FALSE(budget.mayGrow(oldest));
-  // They are let go in time, and then it goes on.
+  // Once the slow peer is released, the oldest buffer may grow again.
   const std::vector<SlowPeer> slow = budget.slowPeers(after(2));
   REQUIRE(slow.size() == 1);
   budget.release(slow[0].held);
   CHECK(budget.mayGrow(oldest));
 }
 
-TEST_CASE("Five hundred readers of a byte a second stay within the bound, and others go through", "[byte_budget]") {
+TEST_CASE("Five hundred readers of a byte per second stay within the bound, and other callers are served",
+          "[byte_budget]") {
   constexpr std::size_t kAnswer = 64 << 10;
-  constexpr std::size_t kWindow = 16 << 10;  // a socket takes so much more once that is read
+  constexpr std::size_t kWindow = 16 << 10;  // a socket accepts this much more once the caller has read it
   ByteBudget budget = budgetOf(40u << 20);
   std::map<HeldId, std::size_t> slow;
   std::size_t others_served = 0;
   std::size_t let_go = 0;
   for (int tick = 0; tick < 240; ++tick) {  // a minute of quarter seconds
     const Instant now = after(tick * 0.25);
-    // Eight slow callers come each quarter of a second, as long as there is room; their sockets take a window at once.
+    // Eight slow callers come each quarter of a second while there is room; their sockets accept one window at once.
     for (int i = 0; i < 8 && slow.size() < 500 && budget.hasRoom(); ++i) {
       const HeldId held = offered(budget, now, kAnswer);
       budget.noteTaken(now, held, kWindow);
       slow[held] = kAnswer - kWindow;
     }
-    // Another one takes all of its answer at once.
+    // Another caller reads its whole answer at once.
     if (budget.hasRoom()) {
       const HeldId quick = offered(budget, now, kAnswer);
       budget.noteTaken(now, quick, kAnswer);
@@ -128,7 +131,8 @@
   CHECK(let_go > 500);
 }
 
-TEST_CASE("The sum is that of what is held, and nobody is let go before its patience", "[byte_budget][property]") {
+TEST_CASE("The total equals the sum of the buffers, and no peer is slow before the least timeout",
+          "[byte_budget][property]") {
   CHECK(testing::holds([] {
     ByteBudget budget = budgetOf();
     std::map<HeldId, std::size_t> held;
--- a/tests/request/admission/engine_pace_test.cpp
+++ b/tests/request/admission/engine_pace_test.cpp
@@ -34,17 +34,17 @@
   return made;
 }
 
-struct Played {
+struct Outcome {
   std::size_t requests = 0;
   std::size_t late = 0;
   double busiest_over_mean = 0;
 };
 
-/// A square wave with a jump, placed by one process that is told 5 ms late of what begins and ends.
-Played playJump(bool learns_pace, std::uint64_t seed, double jump) {
+/// Replays a square wave with a jump. One process places the requests and learns of their starts and ends 5 ms late.
+Outcome playJump(bool learns_pace, std::uint64_t seed, double jump) {
   constexpr double kObjectiveMs = 300;
-  constexpr Duration kToldAfter = fromMillis(5);
-  constexpr double kToldAfterMs = 5;
+  constexpr Duration kReportDelay = fromMillis(5);
+  constexpr double kReportDelayMs = 5;
   constexpr double kEndMs = 12000;
   replay::VirtualTime time;
   replay::UnevenEngines engines(time, {}, seed);
@@ -55,21 +55,21 @@
   selector.takeEngines(time.now(), wholeListOf(engines.records(kService, kZone)));
   for (double at = 0; at < kEndMs; at += 50) time.at(at, [&] { selector.noteOthers(time.now(), {}); });
   const replay::Load wave{{0, 100}, {3400, 255}, {5800, 100}, {9200, 255 * jump}, {11600, 100}};
-  Played played;
+  Outcome outcome;
   for (const double at : replay::arrivals(wave, kEndMs, seed)) {
     time.at(at, [&, at] {
       const auto choice = selector.choose(time.now(), query());
       const TicketId ticket = selector.begin(time.now(), choice->engine.id, query());
-      ++played.requests;
+      ++outcome.requests;
       engines.send(choice->engine.id, {[&, at, ticket](std::uint32_t pace) {
-                                         if (time.nowMs() - at > kObjectiveMs) ++played.late;
-                                         time.at(time.nowMs() + kToldAfterMs, [&, ticket, pace] {
-                                           selector.noteFirstByte(time.now() - kToldAfter, ticket);
+                                         if (time.nowMs() - at > kObjectiveMs) ++outcome.late;
+                                         time.at(time.nowMs() + kReportDelayMs, [&, ticket, pace] {
+                                           selector.noteFirstByte(time.now() - kReportDelay, ticket);
                                            selector.notePace(time.now(), ticket, pace);
                                          });
                                        },
                                        [&, ticket](const AnswerTiming& timing) {
-                                         time.at(time.nowMs() + kToldAfterMs, [&, ticket, timing] {
+                                         time.at(time.nowMs() + kReportDelayMs, [&, ticket, timing] {
                                            selector.noteTiming(ticket, timing);
                                            selector.end(time.now(), ticket, EngineVerdict::kGood);
                                          });
@@ -77,23 +77,24 @@
     });
   }
   time.run();
-  const std::vector<double> shares = engines.takenShares();
+  const std::vector<double> shares = engines.busyShares();
   const double mean = std::accumulate(shares.begin(), shares.end(), 0.0) / static_cast<double>(shares.size());
-  played.busiest_over_mean = *std::max_element(shares.begin(), shares.end()) / mean;
-  return played;
+  outcome.busiest_over_mean = *std::max_element(shares.begin(), shares.end()) / mean;
+  return outcome;
 }
 
 }  // namespace
 
-TEST_CASE("a jump at engines of three speeds: fewer wait at slow ones once their speed is known", "[pace]") {
-  Played without;
-  Played with;
+TEST_CASE("a load jump at engines of three speeds: fewer requests wait at slow engines once their speed is known",
+          "[pace]") {
+  Outcome without;
+  Outcome with;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     without.late += playJump(false, seed, 1.7).late;
-    const Played played = playJump(true, seed, 1.7);
-    with.late += played.late;
-    CAPTURE(seed, played.busiest_over_mean);
-    REQUIRE(played.busiest_over_mean <= 1.15);
+    const Outcome outcome = playJump(true, seed, 1.7);
+    with.late += outcome.late;
+    CAPTURE(seed, outcome.busiest_over_mean);
+    REQUIRE(outcome.busiest_over_mean <= 1.15);
   }
   CAPTURE(without.late, with.late);
   REQUIRE(without.late > 50);
@@ -110,11 +111,11 @@
   }
   REQUIRE(fast.learned(service, kLimits) == Approx(0.6).margin(0.08));
   REQUIRE(slow.learned(service, kLimits) == Approx(1.6).margin(0.1));
-  REQUIRE(fast.effectivePlaces(replay::kBegin, 8, service, kLimits) >
-          2 * slow.effectivePlaces(replay::kBegin, 8, service, kLimits));
+  REQUIRE(fast.effectiveSlots(replay::kBegin, 8, service, kLimits) >
+          2 * slow.effectiveSlots(replay::kBegin, 8, service, kLimits));
 }
 
-TEST_CASE("few observations say little of an engine, and a single odd one even less", "[pace]") {
+TEST_CASE("few observations have little weight, and a single outlier even less", "[pace]") {
   const ServicePace service = usualService(36);
   EnginePace engine;
   REQUIRE(engine.learned(service, kLimits) == 1);
@@ -134,14 +135,14 @@
       service.note(answer(step), kLimits);
       engine.note(answer(step * 7.0), service, kLimits);
       const double learned = engine.learned(service, kLimits);
-      RC_ASSERT(learned >= 1 / kLimits.most_learned);
-      RC_ASSERT(learned <= kLimits.most_learned);
+      RC_ASSERT(learned >= 1 / kLimits.max_learned_factor);
+      RC_ASSERT(learned <= kLimits.max_learned_factor);
     }
   });
   REQUIRE(holds);
 }
 
-TEST_CASE("what an engine told of its pace counts less and less, and nothing after a second", "[pace]") {
+TEST_CASE("a speed reported by an engine decays, and expires after a second", "[pace]") {
   const Instant now = replay::kBegin;
   EnginePace engine;
   REQUIRE(engine.told(now, kLimits) == 1);
@@ -155,7 +156,7 @@
   REQUIRE(engine.told(now + fromMillis(100), kLimits) == 1);
 }
 
-TEST_CASE("a new life of an engine has none of the speed of the one before", "[pace]") {
+TEST_CASE("a new incarnation of an engine has none of the speed of the one before", "[pace]") {
   SelectorLimits limits;
   limits.places_zone = true;
   EngineSelector selector(1, limits);
@@ -189,7 +190,7 @@
   REQUIRE(slownessOf(0) == 1);
 }
 
-TEST_CASE("engines that tell no pace count as equal, whatever their answers took", "[pace]") {
+TEST_CASE("engines that report no speed count as equal, however long their answers took", "[pace]") {
   const Instant now = replay::kBegin;
   EngineSelector selector(1);
   EngineRecord record;
--- a/tests/request/admission/fair_share_test.cpp
+++ b/tests/request/admission/fair_share_test.cpp
@@ -22,12 +22,12 @@
   return Instant{} + std::chrono::hours(1) + Duration(static_cast<Duration::rep>(seconds * 1e6));
 }
 
-/// A request that finds a place at once.
+/// Adds a request that gets a slot at once.
 void take(FairShare& share, Instant now, const TenantId& tenant, double work) {
   share.serve(now, tenant, share.enter(now, tenant, work));
 }
 
-/// What became of a tenant's requests.
+/// Outcome of the requests of one tenant.
 struct Outcome {
   int asked = 0;
   int in_time = 0;
@@ -35,42 +35,42 @@
   double share() const { return asked == 0 ? 1 : static_cast<double>(in_time) / asked; }
 };
 
-/// Places that run one request each, and one line before them.
-class Room {
+/// Simulates slots that run one request each, and one queue before them.
+class SlotPool {
  public:
-  /// Without shares the line is served in the order of arrival.
-  Room(std::size_t places, Duration objective, bool by_share)
-      : places_(places), objective_(objective), by_share_(by_share) {}
+  /// Without `by_share` the queue is served in order of arrival.
+  SlotPool(std::size_t slots, Duration objective, bool by_share)
+      : slots_(slots), objective_(objective), by_share_(by_share) {}
 
-  void setPlaces(std::size_t places) { places_ = places; }
+  void setSlots(std::size_t slots) { slots_ = slots; }
   void setWeight(const std::string& tenant, double weight) { weights_[tenant] = weight; }
-  /// `counts`: the outcome is of interest.
-  void arrive(Instant now, const std::string& tenant, Duration place_time, bool counts) {
-    const double work = share_.workOf({0, 0, place_time});
-    line_.push_back({tenant, now, place_time, counts, share_.enter(now, TenantId(tenant), work, weightOf(tenant))});
+  /// `counts`: the request is part of the outcome.
+  void arrive(Instant now, const std::string& tenant, Duration slot_time, bool counts) {
+    const double work = share_.workOf({0, 0, slot_time});
+    queue_.push_back({tenant, now, slot_time, counts, share_.enter(now, TenantId(tenant), work, weightOf(tenant))});
     if (counts) ++outcomes_[tenant].asked;
   }
 
   void step(Instant now) {
     std::erase_if(ends_, [now](Instant end) { return end <= now; });
-    std::erase_if(line_, [&](const Waiting& waiting) {
+    std::erase_if(queue_, [&](const Queued& waiting) {
       if (now - waiting.arrived <= objective_) return false;
       share_.leave(TenantId(waiting.tenant), waiting.turn);
       return true;
     });
-    while (ends_.size() < places_ && !line_.empty()) begin(now);
-    idle_while_waiting_ = idle_while_waiting_ || (ends_.size() < places_ && !line_.empty());
+    while (ends_.size() < slots_ && !queue_.empty()) begin(now);
+    idle_while_queued_ = idle_while_queued_ || (ends_.size() < slots_ && !queue_.empty());
   }
 
   const std::map<std::string, Outcome>& outcomes() const { return outcomes_; }
-  bool wasIdleWhileWaiting() const { return idle_while_waiting_; }
+  bool wasIdleWhileQueued() const { return idle_while_queued_; }
   FairShare& share() { return share_; }
 
  private:
-  struct Waiting {
+  struct Queued {
     std::string tenant;
     Instant arrived;
-    Duration place_time;
+    Duration slot_time;
     bool counts;
     Turn turn;
   };
@@ -82,37 +82,37 @@
 
   void begin(Instant now) {
     std::size_t next = 0;
-    for (std::size_t i = 1; by_share_ && i < line_.size(); ++i) {
-      if (line_[i].turn.start < line_[next].turn.start) next = i;
+    for (std::size_t i = 1; by_share_ && i < queue_.size(); ++i) {
+      if (queue_[i].turn.start < queue_[next].turn.start) next = i;
     }
-    const Waiting chosen = line_[next];
-    line_.erase(line_.begin() + static_cast<std::ptrdiff_t>(next));
+    const Queued chosen = queue_[next];
+    queue_.erase(queue_.begin() + static_cast<std::ptrdiff_t>(next));
     share_.serve(now, TenantId(chosen.tenant), chosen.turn);
-    ends_.push_back(now + chosen.place_time);
+    ends_.push_back(now + chosen.slot_time);
     if (!chosen.counts) return;
     ++outcomes_[chosen.tenant].in_time;
-    outcomes_[chosen.tenant].work_done_ms += toSeconds(chosen.place_time) * 1000;
+    outcomes_[chosen.tenant].work_done_ms += toSeconds(chosen.slot_time) * 1000;
   }
 
-  std::size_t places_;
+  std::size_t slots_;
   Duration objective_;
   bool by_share_;
   FairShare share_;
   std::map<std::string, double> weights_;
-  std::vector<Waiting> line_;
+  std::vector<Queued> queue_;
   std::vector<Instant> ends_;
   std::map<std::string, Outcome> outcomes_;
-  bool idle_while_waiting_ = false;
+  bool idle_while_queued_ = false;
 };
 
 struct Load {
   std::string tenant;
   double per_second = 0;
-  /// Times its usual during the surge.
+  /// Factor on the usual rate during the surge.
   double surge = 1;
 };
 
-/// Tenants whose rates fall like one over their rank; one of them is to surge.
+/// Tenants whose rates are proportional to one over their rank; tenant `hot` surges.
 std::vector<Load> manyTenants(std::size_t tenants, double all_per_second, std::size_t hot, double surge) {
   double sum = 0;
   for (std::size_t i = 0; i < tenants; ++i) sum += 1.0 / static_cast<double>(i + 1);
@@ -126,39 +126,39 @@
 struct Surge {
   double begins = 30;
   double ends = 36.5;
-  std::size_t places_then = 0;
-  /// The store that decides is replaced then; its follower knows nothing.
-  std::optional<double> forgets_at;
+  std::size_t slots_during = 0;
+  /// Time in seconds at which the deciding store is replaced by a store without state.
+  std::optional<double> store_replaced_at;
 };
 
-void replay(Room& room, const std::vector<Load>& loads, const Surge& surge, std::uint64_t seed, double from = 0) {
+void replay(SlotPool& pool, const std::vector<Load>& loads, const Surge& surge, std::uint64_t seed, double from = 0) {
   std::mt19937_64 random(seed);
   std::uniform_real_distribution<double> held_ms(500, 900);
-  bool has_forgotten = false;
+  bool is_replaced = false;
   for (double second = from; second < surge.ends + 1; second += toSeconds(kTick)) {
     const bool in_surge = second >= surge.begins && second < surge.ends;
-    if (in_surge) room.setPlaces(surge.places_then);
-    if (surge.forgets_at && second >= *surge.forgets_at && !has_forgotten) {
-      room.share() = FairShare();
-      has_forgotten = true;
+    if (in_surge) pool.setSlots(surge.slots_during);
+    if (surge.store_replaced_at && second >= *surge.store_replaced_at && !is_replaced) {
+      pool.share() = FairShare();
+      is_replaced = true;
     }
     if (second < surge.ends) {
       for (const Load& load : loads) {
         std::poisson_distribution<int> arrivals(load.per_second * (in_surge ? load.surge : 1) * toSeconds(kTick));
         const int count = arrivals(random);
         for (int i = 0; i < count; ++i) {
-          room.arrive(at(second), load.tenant, fromMillis(static_cast<std::int64_t>(held_ms(random))), in_surge);
+          pool.arrive(at(second), load.tenant, fromMillis(static_cast<std::int64_t>(held_ms(random))), in_surge);
         }
       }
     }
-    room.step(at(second));
+    pool.step(at(second));
   }
 }
 
-/// Shares in time of all tenants but one, the worst first.
-std::vector<double> sharesBut(const Room& room, const std::string& hot) {
+/// Shares of requests in time of all tenants except `hot`, in ascending order.
+std::vector<double> sharesBut(const SlotPool& pool, const std::string& hot) {
   std::vector<double> shares;
-  for (const auto& [tenant, outcome] : room.outcomes()) {
+  for (const auto& [tenant, outcome] : pool.outcomes()) {
     if (tenant != hot) shares.push_back(outcome.share());
   }
   std::sort(shares.begin(), shares.end());
@@ -172,9 +172,9 @@
 }
 
 constexpr Duration kObjective = fromMillis(300);
-constexpr std::size_t kPlaces = 400;
-/// Of the places, at 0.7 s a request, a quarter is free while all are at their usual.
-constexpr double kUsualPerSecond = 0.75 * kPlaces / 0.7;
+constexpr std::size_t kSlots = 400;
+/// Request rate that leaves a quarter of the slots free at 0.7 s a request while all tenants are at their usual load.
+constexpr double kUsualPerSecond = 0.75 * kSlots / 0.7;
 
 }  // namespace
 
@@ -182,57 +182,56 @@
           "[admission][share]") {
   for (const std::size_t hot : {0, 4, 20}) {
     const std::vector<Load> loads = manyTenants(40, kUsualPerSecond, hot, 8);
-    Room room(kPlaces, kObjective, /*by_share=*/true);
-    replay(room, loads, Surge{30, 36.5, kPlaces * 4 / 5, {}}, 7 + hot);
-    const std::vector<double> shares = sharesBut(room, "t" + std::to_string(hot));
+    SlotPool pool(kSlots, kObjective, /*by_share=*/true);
+    replay(pool, loads, Surge{30, 36.5, kSlots * 4 / 5, {}}, 7 + hot);
+    const std::vector<double> shares = sharesBut(pool, "t" + std::to_string(hot));
     INFO("hot " << hot << ": worst " << shares.front() << ", worst tenth " << worstTenth(shares));
     CHECK(shares.front() >= 0.98);
-    CHECK_FALSE(room.wasIdleWhileWaiting());
-    // What the others leave goes to the one that surges.
-    CHECK(room.outcomes().at("t" + std::to_string(hot)).in_time > 0);
+    CHECK_FALSE(pool.wasIdleWhileQueued());
+    // The surging tenant gets the capacity that the others leave.
+    CHECK(pool.outcomes().at("t" + std::to_string(hot)).in_time > 0);
   }
 }
 
-TEST_CASE("in the order of arrival the same surge makes tenants late that sent no more than usual",
-          "[admission][share]") {
+TEST_CASE("in order of arrival the same surge delays tenants that sent no more than usual", "[admission][share]") {
   const std::vector<Load> loads = manyTenants(40, kUsualPerSecond, 0, 8);
-  Room room(kPlaces, kObjective, /*by_share=*/false);
-  replay(room, loads, Surge{30, 36.5, kPlaces * 4 / 5, {}}, 7);
-  REQUIRE(sharesBut(room, "t0").back() < 0.9);
+  SlotPool pool(kSlots, kObjective, /*by_share=*/false);
+  replay(pool, loads, Surge{30, 36.5, kSlots * 4 / 5, {}}, 7);
+  REQUIRE(sharesBut(pool, "t0").back() < 0.9);
 }
 
-TEST_CASE("a store that knows nothing of earlier work shares better than the order of arrival", "[admission][share]") {
+TEST_CASE("a store without earlier state shares better than the order of arrival", "[admission][share]") {
   const std::vector<Load> loads = manyTenants(40, kUsualPerSecond, 4, 8);
-  Room room(kPlaces, kObjective, /*by_share=*/true);
-  replay(room, loads, Surge{30, 36.5, kPlaces * 4 / 5, 31.0}, 3);
-  Room by_arrival(kPlaces, kObjective, /*by_share=*/false);
-  replay(by_arrival, loads, Surge{30, 36.5, kPlaces * 4 / 5, {}}, 3);
-  const auto in_time = [](const Room& played) {
+  SlotPool pool(kSlots, kObjective, /*by_share=*/true);
+  replay(pool, loads, Surge{30, 36.5, kSlots * 4 / 5, 31.0}, 3);
+  SlotPool by_arrival(kSlots, kObjective, /*by_share=*/false);
+  replay(by_arrival, loads, Surge{30, 36.5, kSlots * 4 / 5, {}}, 3);
+  const auto in_time = [](const SlotPool& replayed) {
     int sum = 0;
-    for (const auto& [tenant, outcome] : played.outcomes()) sum += tenant == "t4" ? 0 : outcome.in_time;
+    for (const auto& [tenant, outcome] : replayed.outcomes()) sum += tenant == "t4" ? 0 : outcome.in_time;
     return sum;
   };
-  REQUIRE(in_time(room) > in_time(by_arrival));
-  REQUIRE(worstTenth(sharesBut(room, "t4")) > worstTenth(sharesBut(by_arrival, "t4")));
+  REQUIRE(in_time(pool) > in_time(by_arrival));
+  REQUIRE(worstTenth(sharesBut(pool, "t4")) > worstTenth(sharesBut(by_arrival, "t4")));
 }
 
-TEST_CASE("tenants that always wait are served by their weights", "[admission][share]") {
-  Room room(20, std::chrono::hours(1), /*by_share=*/true);
-  room.setWeight("heavy", 3);
+TEST_CASE("tenants with a constant backlog are served by their weights", "[admission][share]") {
+  SlotPool pool(20, std::chrono::hours(1), /*by_share=*/true);
+  pool.setWeight("heavy", 3);
   std::vector<Load> loads{{"heavy", 60, 1}, {"light", 60, 1}};
-  replay(room, loads, Surge{0, 20, 20, {}}, 5);
-  const double ratio = room.outcomes().at("heavy").work_done_ms / room.outcomes().at("light").work_done_ms;
+  replay(pool, loads, Surge{0, 20, 20, {}}, 5);
+  const double ratio = pool.outcomes().at("heavy").work_done_ms / pool.outcomes().at("light").work_done_ms;
   CHECK(ratio > 2.4);
   CHECK(ratio < 3.3);
 }
 
-TEST_CASE("who was idle gets no credit for it", "[admission][share]") {
+TEST_CASE("an idle tenant accumulates no credit", "[admission][share]") {
   FairShare share;
   for (int i = 0; i < 100; ++i) {
     take(share, at(i * 0.1), TenantId("a"), 100);
     take(share, at(i * 0.1), TenantId("b"), 100);
   }
-  // "b" is silent for 20 s, then both send as much as they can: "b" goes first by no more than its allowance.
+  // "b" is idle for 20 s, then both tenants send as much as they can: "b" goes first by no more than its burst.
   for (int i = 0; i < 200; ++i) take(share, at(10 + i * 0.1), TenantId("a"), 100);
   int b_in_a_row = 0;
   while (share.startAfter(at(30), TenantId("b"), 0, 100) <= share.startAfter(at(30), TenantId("a"), 0, 100) &&
@@ -258,9 +257,9 @@
   REQUIRE(share.usual(at(400), TenantId("a")) > 4 * before);
 }
 
-TEST_CASE("silent tenants are forgotten, and memory is bounded", "[admission][share]") {
+TEST_CASE("idle tenants are evicted, and memory is bounded", "[admission][share]") {
   FairShareLimits limits;
-  limits.most_tenants = 1000;
+  limits.max_tenants = 1000;
   FairShare share(limits);
   for (int i = 0; i < 5000; ++i) take(share, at(i * 0.001), TenantId("t" + std::to_string(i)), 10);
   REQUIRE(share.tenants() == 1000);
@@ -269,14 +268,14 @@
   REQUIRE(share.usual(at(1000), TenantId("t4999")) == 0);
 }
 
-TEST_CASE("work known by its place time goes before tokens out", "[admission][share]") {
+TEST_CASE("a known slot time takes precedence over tokens out", "[admission][share]") {
   const FairShare share;
   REQUIRE(share.workOf({800, 0, fromMillis(500)}) == Approx(510));
   REQUIRE(share.workOf({800, 150, {}}) == Approx(510));
   REQUIRE(share.workOf({800, 150, fromMillis(500)}) == Approx(510));
 }
 
-TEST_CASE("the order of turns does not hang on names", "[admission][share]") {
+TEST_CASE("the order does not depend on tenant names", "[admission][share]") {
   const bool holds = rc::check("renaming changes nothing", [] {
     const int tenants = *rc::gen::inRange(2, 8);
     const auto sends = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -299,11 +298,10 @@
   REQUIRE(holds);
 }
 
-TEST_CASE("a tenant that sends less than its part of what is served never waits behind the others' surplus",
-          "[admission][share]") {
+TEST_CASE("a tenant that sends less than its share never waits behind the surplus of others", "[admission][share]") {
   const bool holds = rc::check("floor of a share", [] {
-    // Places are given away one after the other. `small` sends a little less than its even part; the others always
-    // wait.
+    // Slots are given out one by one. `small` sends a little less than its even share; the other tenants always have
+    // requests waiting.
     const int others = *rc::gen::inRange(1, 12);
     const int work = *rc::gen::inRange(1, 3000);
     FairShare share;
--- a/tests/request/admission/hold_budget_test.cpp
+++ b/tests/request/admission/hold_budget_test.cpp
@@ -7,7 +7,7 @@
 
 namespace hatchfork::request {
 
-TEST_CASE("A hold budget refuses what is over its count or its bytes, and takes nothing then", "[hold_budget]") {
+TEST_CASE("A budget refuses a request over its count or its bytes, and reserves nothing then", "[hold_budget]") {
   HoldBudget budget(2, 100);
   CHECK(budget.tryEnter(60));
   CHECK_FALSE(budget.tryEnter(41));
@@ -21,14 +21,14 @@
   CHECK(budget.tryEnter(60));
 }
 
-TEST_CASE("A hold budget takes a body that fills it, and none that is larger", "[hold_budget]") {
+TEST_CASE("A budget accepts a body that fills it, and none that is larger", "[hold_budget]") {
   HoldBudget budget(2, 100);
   CHECK_FALSE(budget.tryEnter(static_cast<std::size_t>(-1)));
   CHECK_FALSE(budget.tryEnter(101));
   CHECK(budget.tryEnter(100));
 }
 
-TEST_CASE("A held place is given back at the end of its scope, and only if it was taken", "[hold_budget]") {
+TEST_CASE("A reservation is released at the end of its scope, and only if it was made", "[hold_budget]") {
   HoldBudget budget(1, 100);
   {
     const HeldPlace first(budget, 10);
@@ -44,7 +44,7 @@
   CHECK(budget.bytes() == 0);
 }
 
-TEST_CASE("A hold budget never holds more than its bounds, and is empty when all have left", "[hold_budget]") {
+TEST_CASE("A budget never exceeds its bounds, and is empty when all requests have left", "[hold_budget]") {
   const auto holds = [](const std::vector<std::uint16_t>& steps) {
     constexpr std::size_t kMostRequests = 5;
     constexpr std::size_t kMostBytes = 40'000;
--- a/tests/request/admission/hot_tenant_replay.hpp
+++ b/tests/request/admission/hot_tenant_replay.hpp
@@ -12,8 +12,8 @@
 #include "request/limits/rate_limit_account.hpp"
 #include "request/limits/rate_limit_owner.hpp"
 
-/// A tenant that sends eight times its usual for some seconds, while all load comes in waves: gateways, one owner of
-/// its limit and callers with one return each, on virtual time in steps of a millisecond.
+/// Replays a tenant that sends eight times its usual load for some seconds, on top of periodic load: gateways, one
+/// owner of the tenant's limit and callers with one retry each, in virtual time in steps of a millisecond.
 namespace hatchfork::request::replay {
 
 struct Settings {
@@ -25,9 +25,9 @@
   int surge_begins_ms = 9000;
   int surge_ends_ms = 13000;
   int ends_ms = 26000;
-  /// The owner is replaced by one that knows nothing; zero for never.
-  int owner_lost_ms = 0;
-  /// Requests tell how urgent they are.
+  /// Time at which the owner is replaced by a new owner without state; zero for never.
+  int owner_replaced_ms = 0;
+  /// Requests carry the urgency of their route.
   bool ordered = true;
   std::uint32_t seed = 7;
 };
@@ -36,7 +36,7 @@
   int first_ms = 0;
   int attempt_ms = 0;
   bool has_returned = false;
-  bool refused_early = false;
+  bool was_refused_early = false;
   bool is_urgent = true;
   std::uint64_t content = 0;
 
@@ -46,16 +46,16 @@
 
 struct Outcome {
   int in_time = 0;
-  /// Refused early, then served within the objective of the second attempt.
+  /// Requests refused early, then served within the objective of the second attempt.
   int in_time_returned = 0;
   int late = 0;
   int refused_twice = 0;
-  int gone = 0;
+  int abandoned = 0;
   int fresh_urgent_asked = 0;
   int fresh_urgent_in_time = 0;
   int fresh_other_asked = 0;
   int fresh_other_in_time = 0;
-  /// Of the five seconds after the surge.
+  /// Credits granted and used in the five seconds after the surge.
   int credits_after = 0;
   int used_after = 0;
   std::size_t most_in_window = 0;
@@ -77,7 +77,7 @@
   Outcome run() {
     double due = 0;
     for (now_ = 0; now_ < settings_.ends_ms; ++now_) {
-      if (settings_.owner_lost_ms != 0 && now_ == settings_.owner_lost_ms) replaceOwner();
+      if (settings_.owner_replaced_ms != 0 && now_ == settings_.owner_replaced_ms) replaceOwner();
       due += demand() / 1000;
       for (; due >= 1; due -= 1) arriveFresh();
       returnCallers();
@@ -110,16 +110,16 @@
     CreditAnswer answer;
   };
 
-  static constexpr int kWayMs = 1;
+  static constexpr int kTransitMs = 1;
   static constexpr int kServiceMs = 60;
 
   Instant at(int milliseconds) const { return Instant(std::chrono::seconds(1000) + fromMillis(milliseconds)); }
 
   double demand() const {
     const int phase = (now_ + 5800 - 3400) % 5800;
-    const double wave = phase < 2400 ? 1.87 : 0.383;
-    const bool is_hot = now_ >= settings_.surge_begins_ms && now_ < settings_.surge_ends_ms;
-    return settings_.usual * wave * (is_hot ? settings_.surge : 1);
+    const double cycle_factor = phase < 2400 ? 1.87 : 0.383;
+    const bool in_surge = now_ >= settings_.surge_begins_ms && now_ < settings_.surge_ends_ms;
+    return settings_.usual * cycle_factor * (in_surge ? settings_.surge : 1);
   }
 
   void replaceOwner() {
@@ -165,14 +165,14 @@
       if (settings_.options.appointments) question->asks.push_back(waiter->ask);
     }
     const auto index = static_cast<std::size_t>(&gateway - gateways_.data());
-    to_owner_.emplace(now_ + kWayMs, Message{index, *question, {}});
+    to_owner_.emplace(now_ + kTransitMs, Message{index, *question, {}});
   }
 
   void deliver() {
     for (; !to_owner_.empty() && to_owner_.begin()->first <= now_; to_owner_.erase(to_owner_.begin())) {
       Message message = to_owner_.begin()->second;
       message.answer = owner_.answer(at(now_), TenantId("crew"), limits_, message.question);
-      to_gateways_.emplace(now_ + kWayMs, message);
+      to_gateways_.emplace(now_ + kTransitMs, message);
     }
     for (; !to_gateways_.empty() && to_gateways_.begin()->first <= now_; to_gateways_.erase(to_gateways_.begin())) {
       const Message& message = to_gateways_.begin()->second;
@@ -246,7 +246,7 @@
     if (in_time) {
       ++outcome_.in_time;
       ++(caller.is_urgent ? outcome_.fresh_urgent_in_time : outcome_.fresh_other_in_time);
-    } else if (caller.refused_early && in_time_again) {
+    } else if (caller.was_refused_early && in_time_again) {
       ++outcome_.in_time_returned;
     } else {
       ++outcome_.late;
@@ -261,8 +261,8 @@
     const int left = caller.deadline() - (now_ - caller.first_ms);
     const int away = std::min(static_cast<int>(toMillis(after)), left / 3);
     caller.has_returned = true;
-    caller.refused_early = now_ - caller.attempt_ms <= caller.objective() / 4;
-    // Both ways and a new connection.
+    caller.was_refused_early = now_ - caller.attempt_ms <= caller.objective() / 4;
+    // Network transit in both directions and a new connection.
     caller.attempt_ms = now_ + away + 3;
     returning_.emplace(caller.attempt_ms, caller);
   }
--- a/tests/request/admission/hot_tenant_replay_test.cpp
+++ b/tests/request/admission/hot_tenant_replay_test.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A surge over two waves of load.
-replay::Settings twoWaves(bool appointments) {
+/// A surge over two load cycles.
+replay::Settings twoCycles(bool appointments) {
   replay::Settings settings;
   settings.options.appointments = appointments;
   settings.ordered = false;
@@ -22,52 +22,53 @@
   return static_cast<std::size_t>(1.1 * (window + settings.limit) + settings.options.slack);
 }
 
-replay::Settings oneWave(bool appointments) {
-  replay::Settings settings = twoWaves(appointments);
+replay::Settings oneCycle(bool appointments) {
+  replay::Settings settings = twoCycles(appointments);
   settings.surge_begins_ms = 9000;
   settings.surge_ends_ms = 13000;
   return settings;
 }
 
-/// Requests in time, where one that was sent away before counts half: its caller has waited for its return.
+/// Requests in time. A request that was refused before counts half, because its caller has waited for the retry.
 double served(const replay::Outcome& outcome) {
   return outcome.in_time + 0.5 * outcome.in_time_returned;
 }
 
 }  // namespace
 
-TEST_CASE("a surge over two waves: more are served in time at the same limit", "[admission][returns][replay]") {
-  const replay::Outcome before = replay::Replay(twoWaves(false)).run();
-  const replay::Outcome after = replay::Replay(twoWaves(true)).run();
+TEST_CASE("a surge over two load cycles: more requests are served in time at the same limit",
+          "[admission][returns][replay]") {
+  const replay::Outcome before = replay::Replay(twoCycles(false)).run();
+  const replay::Outcome after = replay::Replay(twoCycles(true)).run();
   REQUIRE(after.in_time >= 1.25 * before.in_time);
-  // Fresh requests are not served by taking as much from those that come back.
+  // Fresh requests do not gain at the expense of as many retries.
   REQUIRE(served(after) >= served(before));
-  // Those who come back are refused again hardly more often, though fresh requests go before them.
+  // Retries are refused again hardly more often, though fresh requests go before them.
   REQUIRE(after.refused_twice <= 1.05 * before.refused_twice);
-  REQUIRE(after.most_in_window <= allowed(twoWaves(true)));
+  REQUIRE(after.most_in_window <= allowed(twoCycles(true)));
 }
 
-TEST_CASE("a surge of one wave: more are served in time at the same limit, and nothing is lost by it",
+TEST_CASE("a surge of one load cycle: more requests are served in time at the same limit, without a loss to retries",
           "[admission][returns][replay]") {
-  const replay::Outcome before = replay::Replay(oneWave(false)).run();
-  const replay::Outcome after = replay::Replay(oneWave(true)).run();
+  const replay::Outcome before = replay::Replay(oneCycle(false)).run();
+  const replay::Outcome after = replay::Replay(oneCycle(true)).run();
   REQUIRE(after.in_time >= 1.1 * before.in_time);
   REQUIRE(served(after) >= served(before));
-  REQUIRE(after.most_in_window <= allowed(oneWave(true)));
+  REQUIRE(after.most_in_window <= allowed(oneCycle(true)));
 }
 
-TEST_CASE("promised credits are used by those they were kept for", "[admission][returns][replay]") {
-  const replay::Outcome after = replay::Replay(twoWaves(true)).run();
+TEST_CASE("reserved credits are used by the requests they were reserved for", "[admission][returns][replay]") {
+  const replay::Outcome after = replay::Replay(twoCycles(true)).run();
   REQUIRE(after.returns.promised > 50);
   REQUIRE(static_cast<double>(after.returns.used) >= 0.9 * static_cast<double>(after.returns.promised));
 }
 
-TEST_CASE("the owner is lost with appointments outstanding: the limit holds, and callers are no worse off than without",
+TEST_CASE("the owner is lost with reservations outstanding: the limit holds, and callers are no worse off than without",
           "[admission][returns][replay]") {
-  replay::Settings with = twoWaves(true);
-  with.owner_lost_ms = 12000;
-  replay::Settings without = twoWaves(false);
-  without.owner_lost_ms = 12000;
+  replay::Settings with = twoCycles(true);
+  with.owner_replaced_ms = 12000;
+  replay::Settings without = twoCycles(false);
+  without.owner_replaced_ms = 12000;
   const replay::Outcome before = replay::Replay(without).run();
   const replay::Outcome after = replay::Replay(with).run();
   REQUIRE(after.most_in_window <= allowed(with));
@@ -75,17 +76,19 @@
   REQUIRE(after.served() >= 0.95 * before.served());
 }
 
-TEST_CASE("questions to the owner stay bounded while gateways gather those who wait", "[admission][returns][replay]") {
-  const replay::Outcome after = replay::Replay(twoWaves(true)).run();
+TEST_CASE("the number of questions to the owner stays bounded while requests wait at gateways",
+          "[admission][returns][replay]") {
+  const replay::Outcome after = replay::Replay(twoCycles(true)).run();
   // Each gateway asks 33 times a second at most.
   const double seconds = 26;
   REQUIRE(after.questions <= 55 * 33 * seconds);
-  REQUIRE(after.questions <= 2 * replay::Replay(twoWaves(false)).run().questions);
+  REQUIRE(after.questions <= 2 * replay::Replay(twoCycles(false)).run().questions);
 }
 
-TEST_CASE("the most urgent are served first, and the least urgent keep a floor", "[admission][returns][replay]") {
-  const replay::Outcome before = replay::Replay(twoWaves(true)).run();
-  replay::Settings ordered = twoWaves(true);
+TEST_CASE("the most urgent requests are served first, and the least urgent keep a floor",
+          "[admission][returns][replay]") {
+  const replay::Outcome before = replay::Replay(twoCycles(true)).run();
+  replay::Settings ordered = twoCycles(true);
   ordered.ordered = true;
   const replay::Outcome after = replay::Replay(ordered).run();
   REQUIRE(after.fresh_urgent_in_time > before.fresh_urgent_in_time);
--- a/tests/request/admission/load_wave_test.cpp
+++ b/tests/request/admission/load_wave_test.cpp
@@ -18,7 +18,7 @@
   return Instant{} + std::chrono::hours(1) + Duration(static_cast<Duration::rep>(seconds * 1e6));
 }
 
-/// Plays a load from `from` on; `load(second)` is the count in flight.
+/// Records a load between `from` and `to`; `load(second)` is the count in flight.
 template <class Load>
 void play(LoadWave& wave, double from, double to, const Load& load) {
   for (double second = from; second < to; second += toSeconds(kStep)) wave.note(at(second), load(second));
@@ -31,24 +31,24 @@
 
 }  // namespace
 
-TEST_CASE("a wave of steps is found, and its next rise is expected when it comes", "[admission][wave]") {
+TEST_CASE("a cycle of steps is detected, and its next rise is forecast at the right time", "[admission][wave]") {
   LoadWave wave;
   play(wave, 0, 20, steps);
   REQUIRE(wave.period().has_value());
   REQUIRE(std::abs(toMillis(*wave.period()) - 5800) <= 100);
-  // At 20 s it is 2.6 s into the trough: 0.8 s more until the rise.
+  // 20 s is 2.6 s into the trough: the rise follows in 0.8 s.
   REQUIRE(wave.level() == 60);
   REQUIRE(wave.forecast().mostWithin(fromMillis(250)) == 60);
   REQUIRE(wave.forecast().mostWithin(fromMillis(500)) == 60);
   REQUIRE(wave.forecast().mostWithin(fromMillis(1500)) == 300);
-  // At the begin of the trough nothing comes for three seconds.
+  // At the start of the trough no rise follows for three seconds.
   play(wave, 20, 23.6, steps);
   REQUIRE(wave.level() == 60);
   REQUIRE(wave.forecast().mostWithin(fromMillis(2000)) == 60);
   REQUIRE(wave.forecast().mostWithin(fromMillis(5000)) == 300);
 }
 
-TEST_CASE("noise has no period, and may rise again as it did lately", "[admission][wave]") {
+TEST_CASE("noise has no period, and may rise again as far as it recently did", "[admission][wave]") {
   std::mt19937_64 random(11);
   std::poisson_distribution<int> counts(200);
   LoadWave wave;
@@ -58,14 +58,14 @@
   REQUIRE(wave.forecast().mostWithin(fromMillis(3000)) <= wave.peak());
 }
 
-TEST_CASE("a load that never rises fast is not expected to", "[admission][wave]") {
+TEST_CASE("no fast rise is forecast for a load that never rises fast", "[admission][wave]") {
   LoadWave wave;
   play(wave, 0, 20, [](double second) { return 100 + 5 * second; });
   REQUIRE_FALSE(wave.period().has_value());
   REQUIRE(wave.forecast().mostWithin(fromMillis(1000)) <= wave.level() + 6);
 }
 
-TEST_CASE("a surge against what the period told takes it out of trust for a while", "[admission][wave]") {
+TEST_CASE("a surge above the predicted count suspends the period for a while", "[admission][wave]") {
   LoadWave wave;
   play(wave, 0, 23.6, steps);
   REQUIRE(wave.forecast().mostWithin(fromMillis(2000)) == 60);
@@ -74,7 +74,7 @@
   REQUIRE(wave.forecast().mostWithin(fromMillis(250)) == 400);
 }
 
-TEST_CASE("a wave is forgotten once it is over", "[admission][wave]") {
+TEST_CASE("a cycle is no longer detected once it is over", "[admission][wave]") {
   LoadWave wave;
   play(wave, 0, 20, steps);
   play(wave, 20, 60, [](double) { return 60; });
@@ -82,7 +82,7 @@
   REQUIRE(wave.forecast().mostWithin(fromMillis(8000)) == 60);
 }
 
-TEST_CASE("without any count nothing is expected", "[admission][wave]") {
+TEST_CASE("without any count the forecast is zero", "[admission][wave]") {
   const LoadWave wave;
   REQUIRE(wave.level() == 0);
   REQUIRE(wave.peak() == 0);
@@ -90,7 +90,7 @@
   REQUIRE(wave.forecast().mostWithin(std::chrono::seconds(20)) == 0);
 }
 
-TEST_CASE("a forecast is never below what is in flight now, nor above the most that was kept", "[admission][wave]") {
+TEST_CASE("a forecast is never below the current count, nor above the highest recorded count", "[admission][wave]") {
   const bool holds = rc::check("bounds of a forecast", [] {
     const auto counts = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 500));
     LoadWave wave;
--- a/tests/request/admission/return_schedule_property_test.cpp
+++ b/tests/request/admission/return_schedule_property_test.cpp
@@ -25,7 +25,7 @@
   return 1.1 * (limits.online_requests_per_second * toSeconds(kOptions.window) + limits.online_burst) + kOptions.slack;
 }
 
-/// What a window may hold in which one limit took the place of the other.
+/// Limits of a window in which one limit replaced the other.
 TenantLimits greaterOf(const TenantLimits& first, const TenantLimits& second) {
   TenantLimits limits;
   limits.online_requests_per_second = std::max(first.online_requests_per_second, second.online_requests_per_second);
@@ -33,24 +33,24 @@
   return limits;
 }
 
-/// Requests that press on one limit, each asking until it is refused for good: those that are sent away come back at
-/// their time, early, or never.
-class PressedOwner {
+/// Load over one limit. Each request retries until it is refused for good: refused callers come back at their due time,
+/// early, or never.
+class LoadedOwner {
  public:
-  explicit PressedOwner(TenantLimits limits) : limits_(limits), owner_(kOptions) {}
+  explicit LoadedOwner(TenantLimits limits) : limits_(limits), owner_(kOptions) {}
 
-  void pass(Duration time) {
+  void advance(Duration time) {
     now_ += time;
     while (!granted_.empty() && granted_.front() <= now_ - kOptions.window) granted_.pop_front();
   }
 
-  void arriveFresh() { ask(++last_content_, false); }
+  void arriveFresh() { sendRequest(++last_content_, false); }
 
-  void returnDue() {
-    while (!coming_.empty() && coming_.begin()->first <= now_) {
-      const std::uint64_t content = coming_.begin()->second;
-      coming_.erase(coming_.begin());
-      ask(content, true);
+  void retryDue() {
+    while (!retries_.empty() && retries_.begin()->first <= now_) {
+      const std::uint64_t content = retries_.begin()->second;
+      retries_.erase(retries_.begin());
+      sendRequest(content, true);
     }
   }
 
@@ -62,32 +62,32 @@
   void replaceOwner() {
     owner_ = RateLimitOwner(kOptions);
     owner_.noteTakeover(now_);
-    promised_.clear();
+    reserved_.clear();
   }
 
   void setLimits(TenantLimits limits) { limits_ = limits; }
   std::size_t inWindow() const { return granted_.size(); }
-  bool brokePromise() const { return broke_promise_; }
+  bool brokeReservation() const { return broke_reservation_; }
 
  private:
   void note(double credits) {
     for (int index = 0; index < static_cast<int>(credits); ++index) granted_.push_back(now_);
   }
 
-  void ask(std::uint64_t content, bool may_be_kept) {
+  void sendRequest(std::uint64_t content, bool may_be_reserved) {
     CreditQuestion question{1};
     question.arrivals = 1;
     question.asks = {{content, 0, fromMillis(150), fromMillis(1000), fromMillis(1600)}};
     const CreditAnswer answer = owner_.answer(now_, kCrew, limits_, question);
     note(answer.granted);
     const CreditReply& reply = answer.replies.at(0);
-    const bool was_kept = promised_.erase(content) > 0;
+    const bool was_reserved = reserved_.erase(content) > 0;
     if (reply.outcome == CreditOutcome::kGranted) return note(1);
-    if (may_be_kept && was_kept) broke_promise_ = true;
-    const bool is_kept = reply.outcome == CreditOutcome::kReturn || reply.outcome == CreditOutcome::kWait;
-    if (is_kept) promised_.insert(content);
-    const bool comes = reply.outcome != CreditOutcome::kRefused && *rc::gen::inRange(0, 10) != 0;
-    if (comes) coming_.emplace(now_ + reply.after, content);
+    if (may_be_reserved && was_reserved) broke_reservation_ = true;
+    const bool is_reserved = reply.outcome == CreditOutcome::kReturn || reply.outcome == CreditOutcome::kWait;
+    if (is_reserved) reserved_.insert(content);
+    const bool retries = reply.outcome != CreditOutcome::kRefused && *rc::gen::inRange(0, 10) != 0;
+    if (retries) retries_.emplace(now_ + reply.after, content);
   }
 
   TenantLimits limits_;
@@ -95,31 +95,31 @@
   Instant now_{std::chrono::seconds(1000)};
   std::uint64_t last_content_ = 0;
   std::deque<Instant> granted_;
-  std::multimap<Instant, std::uint64_t> coming_;
-  std::set<std::uint64_t> promised_;
-  bool broke_promise_ = false;
+  std::multimap<Instant, std::uint64_t> retries_;
+  std::set<std::uint64_t> reserved_;
+  bool broke_reservation_ = false;
 };
 
 }  // namespace
 
-TEST_CASE("no window grants more than the limit, whoever is promised what, over a change of owner and of limit",
+TEST_CASE("no window grants more than the limit for any reservations, over a change of owner and of limit",
           "[admission][returns][property]") {
   const bool holds = hatchfork::testing::holds([] {
     const TenantLimits first = drawLimits();
     const TenantLimits second = drawLimits();
-    PressedOwner owner(first);
+    LoadedOwner owner(first);
     const int replaced_at = *rc::gen::inRange(100, 1200);
     const int changed_at = *rc::gen::inRange(100, 1200);
     Duration since_change{};
     for (int step = 0; step < 1200; ++step) {
       const Duration passed = fromMillis(*rc::gen::inRange(1, 12));
-      owner.pass(passed);
+      owner.advance(passed);
       if (step == replaced_at) owner.replaceOwner();
       if (step == changed_at) owner.setLimits(second);
       if (step > changed_at) since_change += passed;
       const bool holds_both = step >= changed_at && since_change < kOptions.window;
       const TenantLimits limits = holds_both ? greaterOf(first, second) : step < changed_at ? first : second;
-      owner.returnDue();
+      owner.retryDue();
       const int arrivals = *rc::gen::inRange(0, 8);
       for (int index = 0; index < arrivals; ++index) owner.arriveFresh();
       if (*rc::gen::inRange(0, 20) == 0) owner.takeAhead(*rc::gen::inRange(0, 20));
@@ -129,19 +129,20 @@
   REQUIRE(holds);
 }
 
-TEST_CASE("a promised credit is there when its caller comes, whatever others take", "[admission][returns][property]") {
+TEST_CASE("a reserved credit is available when its caller retries, whatever others take",
+          "[admission][returns][property]") {
   const bool holds = hatchfork::testing::holds([] {
     TenantLimits limits = drawLimits();
     limits.online_requests_per_second += 5;
     limits.online_burst = limits.online_requests_per_second;
-    PressedOwner owner(limits);
+    LoadedOwner owner(limits);
     for (int step = 0; step < 1200; ++step) {
-      owner.pass(fromMillis(*rc::gen::inRange(1, 12)));
-      owner.returnDue();
+      owner.advance(fromMillis(*rc::gen::inRange(1, 12)));
+      owner.retryDue();
       const int arrivals = *rc::gen::inRange(0, 8);
       for (int index = 0; index < arrivals; ++index) owner.arriveFresh();
       if (*rc::gen::inRange(0, 20) == 0) owner.takeAhead(*rc::gen::inRange(0, 20));
-      RC_ASSERT_FALSE(owner.brokePromise());
+      RC_ASSERT_FALSE(owner.brokeReservation());
     }
   });
   REQUIRE(holds);
--- a/tests/request/admission/return_schedule_test.cpp
+++ b/tests/request/admission/return_schedule_test.cpp
@@ -22,8 +22,8 @@
   return {content, 0, fromMillis(150), fromMillis(2500), fromMillis(1600)};
 }
 
-/// Fresh requests take `rate` a second until `until`.
-void press(ReturnSchedule& schedule, double rate, std::int64_t until) {
+/// Records fresh requests at `rate` per second until `until` milliseconds.
+void loadFresh(ReturnSchedule& schedule, double rate, std::int64_t until) {
   for (std::int64_t time = 0; time < until; time += 10) schedule.noteArrivals(at(time), rate / 100);
 }
 
@@ -49,14 +49,14 @@
 
 }  // namespace
 
-TEST_CASE("a caller that is sent away finds the credit that was kept for it", "[admission][returns]") {
+TEST_CASE("a refused caller finds the credit reserved for it", "[admission][returns]") {
   ReturnSchedule schedule;
-  press(schedule, 1000, 1000);
+  loadFresh(schedule, 1000, 1000);
   const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
   REQUIRE(sent.outcome == CreditOutcome::kReturn);
   REQUIRE(sent.after <= fromMillis(1600));
   const Instant due = at(1000) + sent.after;
-  // From then on no other request may touch it.
+  // From the due time on, no other request may use the reserved credit.
   REQUIRE(schedule.kept(due, kRate, kCapacity) == 1);
   REQUIRE(schedule.judge(due, askFor(2), kRate, kCapacity, 1).outcome != CreditOutcome::kGranted);
   REQUIRE(schedule.judge(due, askFor(1), kRate, kCapacity, 1).outcome == CreditOutcome::kGranted);
@@ -64,18 +64,18 @@
   REQUIRE(schedule.counters().used == 1);
 }
 
-TEST_CASE("a promise is used once", "[admission][returns]") {
+TEST_CASE("a reservation is used once", "[admission][returns]") {
   ReturnSchedule schedule;
-  press(schedule, 1000, 1000);
+  loadFresh(schedule, 1000, 1000);
   const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
   const Instant due = at(1000) + sent.after;
   REQUIRE(schedule.judge(due, askFor(1), kRate, kCapacity, 1).outcome == CreditOutcome::kGranted);
   REQUIRE(schedule.judge(due, askFor(1), kRate, kCapacity, 0).outcome != CreditOutcome::kGranted);
 }
 
-TEST_CASE("a credit that nobody fetches falls to the others", "[admission][returns]") {
+TEST_CASE("the credit of an expired reservation becomes available to others", "[admission][returns]") {
   ReturnSchedule schedule;
-  press(schedule, 1000, 1000);
+  loadFresh(schedule, 1000, 1000);
   const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
   const Instant later = at(1000) + sent.after + ReturnScheduleLimits{}.kept_for + fromMillis(1);
   REQUIRE(schedule.kept(later, kRate, kCapacity) == 0);
@@ -83,9 +83,9 @@
   REQUIRE(schedule.judge(later, askFor(2), kRate, kCapacity, 1).outcome == CreditOutcome::kGranted);
 }
 
-TEST_CASE("a caller that comes early waits for its time and keeps its place", "[admission][returns]") {
+TEST_CASE("a caller that is early waits for its due time and keeps its reservation", "[admission][returns]") {
   ReturnSchedule schedule;
-  press(schedule, 1000, 1000);
+  loadFresh(schedule, 1000, 1000);
   CreditReply sent;
   for (std::uint64_t content = 1; content < 6; ++content) {
     sent = schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
@@ -99,11 +99,11 @@
 }
 
 TEST_CASE(
-    "while fresh requests take all, the others are told the latest time that they can use, and only a floor is "
-    "promised",
+    "while fresh requests use the whole limit, refused callers get the latest time they can use, and only a floor is "
+    "reserved",
     "[admission][returns]") {
   ReturnSchedule schedule;
-  press(schedule, 1000, 1000);
+  loadFresh(schedule, 1000, 1000);
   int promised = 0;
   int unkept = 0;
   for (std::uint64_t content = 1; content <= 100; ++content) {
@@ -118,9 +118,9 @@
   REQUIRE(unkept == 92);
 }
 
-TEST_CASE("one that comes back takes nothing from fresh requests, and is told at once", "[admission][returns]") {
+TEST_CASE("a retried request takes nothing from fresh requests, and is refused at once", "[admission][returns]") {
   ReturnSchedule schedule;
-  press(schedule, 1000, 1000);
+  loadFresh(schedule, 1000, 1000);
   for (std::uint64_t content = 1; content <= 20; ++content)
     schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
   for (std::int64_t time = 1000; time < 2600; time += 10) schedule.noteArrivals(at(time), 10);
@@ -128,10 +128,10 @@
   REQUIRE(schedule.counters().refused_again == 1);
 }
 
-TEST_CASE("after the surge those who come back are served, and who finds no credit waits for a late answer in order",
+TEST_CASE("after the surge retries are served, and retries without a credit wait in order for a late answer",
           "[admission][returns]") {
   ReturnSchedule schedule;
-  press(schedule, 1000, 1000);
+  loadFresh(schedule, 1000, 1000);
   for (std::uint64_t content = 1; content <= 20; ++content)
     schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
   REQUIRE(schedule.judge(at(2600), askFor(18), kRate, kCapacity, 9).outcome == CreditOutcome::kGranted);
@@ -143,9 +143,9 @@
   REQUIRE(schedule.judge(at(2600) + first.after, askFor(19), kRate, kCapacity, 3).outcome == CreditOutcome::kGranted);
 }
 
-TEST_CASE("a limit that was lowered moves a promise, and does not break the limit", "[admission][returns]") {
+TEST_CASE("a lowered limit postpones a reservation, and is not exceeded", "[admission][returns]") {
   ReturnSchedule schedule;
-  press(schedule, 1000, 1000);
+  loadFresh(schedule, 1000, 1000);
   const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
   const Instant due = at(1000) + sent.after;
   const CreditReply moved = schedule.judge(due, askFor(1), 2, 2, 0.5);
@@ -153,17 +153,17 @@
   REQUIRE(moved.after == fromMillis(250));
 }
 
-TEST_CASE("what is expected is bounded", "[admission][returns]") {
+TEST_CASE("the number of remembered callers is bounded", "[admission][returns]") {
   ReturnScheduleLimits limits;
-  limits.most_expected = 50;
+  limits.max_expected = 50;
   ReturnSchedule schedule(limits);
-  press(schedule, 1000, 1000);
+  loadFresh(schedule, 1000, 1000);
   for (std::uint64_t content = 1; content <= 500; ++content)
     schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
   REQUIRE(schedule.expected() == 50);
 }
 
-TEST_CASE("an owner that has just taken over promises no more than the floor", "[admission][returns]") {
+TEST_CASE("an owner that has just taken over reserves no more than the floor", "[admission][returns]") {
   RateLimitOwner owner(withAppointments());
   const TenantId crew("crew");
   owner.noteTakeover(at(0));
@@ -176,32 +176,32 @@
     if (reply.outcome == CreditOutcome::kGranted) ++granted;
     if (reply.outcome == CreditOutcome::kReturn || reply.outcome == CreditOutcome::kWait) ++promised;
   }
-  // A fifth of a second's credits to begin with, and a twentieth of the limit over 1.6 s.
+  // The initial credits of a fifth of a second, and reservations for a twentieth of the limit over 1.6 s.
   REQUIRE(granted == 20);
   REQUIRE(promised == 8);
 }
 
-TEST_CASE("a gateway of an earlier release takes nothing that is kept for others", "[admission][returns]") {
+TEST_CASE("a gateway of an earlier release takes no credit reserved for others", "[admission][returns]") {
   RateLimitOwner owner(withAppointments());
   const TenantId crew("crew");
   const TenantLimits limits = limitOf(kRate, 10);
   owner.answer(at(0), crew, limits, CreditQuestion{10});
   std::vector<CreditAsk> asks;
   for (std::uint64_t content = 1; content <= 5; ++content) asks.push_back(askFor(content));
-  const CreditAnswer told = owner.answer(at(0), crew, limits, questionOf(asks));
-  REQUIRE(told.replies.size() == 5);
+  const CreditAnswer current = owner.answer(at(0), crew, limits, questionOf(asks));
+  REQUIRE(current.replies.size() == 5);
   REQUIRE(owner.promised() == 5);
-  const CreditAnswer old = owner.answer(at(200), crew, limits, CreditQuestion{100});
-  REQUIRE(old.granted >= 4);
-  REQUIRE(old.granted <= 9);
+  const CreditAnswer earlier = owner.answer(at(200), crew, limits, CreditQuestion{100});
+  REQUIRE(earlier.granted >= 4);
+  REQUIRE(earlier.granted <= 9);
 }
 
-TEST_CASE("questions and answers are read by both releases", "[admission][returns][frames]") {
+TEST_CASE("questions and answers are readable by both releases", "[admission][returns][frames]") {
   fleet::CreditQuestionFrame question{TenantId("crew"), questionOf({askFor(0xfedcba9876543210ULL)})};
   const nlohmann::json sent = question;
   REQUIRE(sent.get<fleet::CreditQuestionFrame>().question.asks == question.question.asks);
   REQUIRE(sent.get<fleet::CreditQuestionFrame>().question.arrivals == 1);
-  // What an earlier release sends, and what it reads of what is sent now.
+  // An earlier release sends, and reads of the current frame, only the first fields.
   const nlohmann::json old_question = nlohmann::json::parse(R"(["crew",3.0])");
   REQUIRE(old_question.get<fleet::CreditQuestionFrame>().question.asks.empty());
   REQUIRE(sent.at(0) == "crew");
@@ -213,19 +213,19 @@
   answer.answer.gives_appointments = true;
   answer.answer.is_tight = true;
   answer.answer.replies = {{0xfedcba9876543210ULL, CreditOutcome::kReturn, fromMillis(900)}};
-  const nlohmann::json told = answer;
-  const auto read = told.get<fleet::CreditAnswerFrame>();
+  const nlohmann::json sent_answer = answer;
+  const auto read = sent_answer.get<fleet::CreditAnswerFrame>();
   REQUIRE(read.answer.gives_appointments);
   REQUIRE(read.answer.is_tight);
   REQUIRE(read.answer.replies == answer.answer.replies);
-  REQUIRE(told.at(5) == 7000);
+  REQUIRE(sent_answer.at(5) == 7000);
   const nlohmann::json old_answer = nlohmann::json::parse(R"(["crew",true,2.0,40.0,0.5,7000])");
   REQUIRE_FALSE(old_answer.get<fleet::CreditAnswerFrame>().answer.gives_appointments);
   const nlohmann::json later = nlohmann::json::parse(R"(["crew",true,2.0,40.0,0.5,7000,true,[[5,9,1000]],"more"])");
   REQUIRE(later.get<fleet::CreditAnswerFrame>().answer.replies.at(0).outcome == CreditOutcome::kRefused);
 }
 
-TEST_CASE("a request is told no time that it can't use", "[admission][returns]") {
+TEST_CASE("no request gets a retry time that it cannot use", "[admission][returns]") {
   const CreditAsk fresh = askOf(fromMillis(300), fromMillis(5000), fromMillis(5000));
   REQUIRE(fresh.in_time == fromMillis(150));
   REQUIRE(fresh.at_all == fromMillis(2500));
@@ -237,13 +237,13 @@
   REQUIRE(over.away == Duration::zero());
 }
 
-TEST_CASE("the same content bears the same number, and each part of it counts", "[admission][returns]") {
+TEST_CASE("equal contents have equal hashes, and each part matters", "[admission][returns]") {
   const RequestContent content{"crew", "POST", "a.example", "/x/1", "body"};
   RequestContent other = content;
   REQUIRE(contentNumber(content) == contentNumber(other));
   other.body = "bodz";
   REQUIRE(contentNumber(content) != contentNumber(other));
-  // Where a part ends counts as well.
+  // The boundaries between parts matter as well.
   other = content;
   other.host = "a.example/";
   other.target = "x/1";
--- a/tests/request/admission/start_hold_test.cpp
+++ b/tests/request/admission/start_hold_test.cpp
@@ -16,10 +16,10 @@
 
 constexpr std::size_t kGateways = 77;
 constexpr double kArrivalsPerSecond = 30;
-constexpr Duration kReplayed = fromMillis(2000);
-constexpr Duration kCallerWaits = fromMillis(1500);
+constexpr Duration kReplayLength = fromMillis(2000);
+constexpr Duration kCallerDeadline = fromMillis(1500);
 
-/// One request of the replay and what became of it.
+/// One request of the replay and its outcome.
 struct Replayed {
   Instant received_at{};
   bool served = false;
@@ -28,34 +28,34 @@
   Duration come_back_after{};
 };
 
-/// Requests come to one gateway from its start on, one after the other; the configuration is in force
-/// `configured_after` its start, or never. Returns those that came before it was.
+/// Replays requests to one gateway, one after the other from its start on; the configuration is in force
+/// `configured_after` its start, or never. Returns the requests received before then.
 std::vector<Replayed> replayGateway(std::uint64_t seed, std::optional<Duration> configured_after, HoldBudget& budget,
-                                    std::size_t& most_held) {
+                                    std::size_t& most_buffered) {
   const Instant started_at{std::chrono::seconds(10)};
   std::mt19937_64 random(seed);
   std::exponential_distribution<double> gap(kArrivalsPerSecond);
   StartHold hold(started_at, seed);
   const Instant in_force = configured_after ? started_at + *configured_after : Instant::max();
   std::vector<Replayed> requests;
-  std::vector<Instant> leaving;
+  std::vector<Instant> end_times;
   Instant now = started_at;
   while (true) {
     now += Duration(static_cast<Duration::rep>(gap(random) * 1e6));
-    if (now >= started_at + kReplayed || now >= in_force) break;
-    std::erase_if(leaving, [&](Instant at) {
+    if (now >= started_at + kReplayLength || now >= in_force) break;
+    std::erase_if(end_times, [&](Instant at) {
       if (at > now) return false;
       budget.leave(1000);
       return true;
     });
-    const StartDecision decision = hold.decide(now, EarlyArrival{now, kCallerWaits});
+    const StartDecision decision = hold.decide(now, EarlyArrival{now, kCallerDeadline});
     Replayed request{now, false, now, decision.come_back_after};
     if (decision.until && budget.tryEnter(1000)) {
       request.ended_at = std::min(*decision.until, in_force);
       request.served = in_force <= *decision.until;
-      leaving.push_back(request.ended_at);
+      end_times.push_back(request.ended_at);
     }
-    most_held = std::max(most_held, budget.requests());
+    most_buffered = std::max(most_buffered, budget.requests());
     requests.push_back(request);
   }
   return requests;
@@ -65,18 +65,18 @@
   std::size_t requests = 0;
   std::size_t served = 0;
   Duration longest_wait{};
-  std::size_t most_held = 0;
-  std::vector<Instant> returns;
+  std::size_t most_buffered = 0;
+  std::vector<Instant> retries;
 };
 
 Replay replayFleet(std::optional<Duration> configured_after) {
   Replay replay;
   for (std::size_t gateway = 1; gateway <= kGateways; ++gateway) {
     HoldBudget budget(64, 1 << 20);
-    for (const Replayed& request : replayGateway(gateway, configured_after, budget, replay.most_held)) {
+    for (const Replayed& request : replayGateway(gateway, configured_after, budget, replay.most_buffered)) {
       ++replay.requests;
       if (request.served) ++replay.served;
-      if (!request.served) replay.returns.push_back(request.ended_at + request.come_back_after);
+      if (!request.served) replay.retries.push_back(request.ended_at + request.come_back_after);
       replay.longest_wait = std::max(replay.longest_wait, request.ended_at - request.received_at);
     }
   }
@@ -85,25 +85,25 @@
 
 }  // namespace
 
-TEST_CASE("all that come to a fleet that starts quickly are held and served", "[start_hold]") {
+TEST_CASE("all requests to a fleet that starts quickly are buffered and served", "[start_hold]") {
   const Replay replay = replayFleet(fromMillis(150));
   REQUIRE(replay.requests > 200);
   CHECK(replay.served == replay.requests);
   CHECK(replay.longest_wait <= fromMillis(150));
-  CHECK(replay.most_held <= 20);
+  CHECK(replay.most_buffered <= 20);
 }
 
-TEST_CASE("where a start takes its usual time, who comes in the last 400 ms of it is served", "[start_hold]") {
+TEST_CASE("if startup takes its usual time, requests of its last 400 ms are served", "[start_hold]") {
   const Replay replay = replayFleet(fromMillis(600));
   REQUIRE(replay.requests > 1000);
   CHECK(static_cast<double>(replay.served) >= 0.6 * static_cast<double>(replay.requests));
   CHECK(replay.longest_wait <= fromMillis(400));
-  // Who was refused comes back to a fleet that serves.
+  // Refused callers come back to a fleet that serves.
   const Instant started_at{std::chrono::seconds(10)};
-  for (const Instant at : replay.returns) CHECK(at >= started_at + fromMillis(600));
+  for (const Instant at : replay.retries) CHECK(at >= started_at + fromMillis(600));
 }
 
-TEST_CASE("where a start does not end, callers are soon refused at once and come back spread", "[start_hold]") {
+TEST_CASE("if startup does not end, callers are soon refused at once and their retries are spread", "[start_hold]") {
   const Replay replay = replayFleet(std::nullopt);
   REQUIRE(replay.requests > 4000);
   CHECK(replay.served == 0);
@@ -111,13 +111,13 @@
   StartHold hold(Instant{}, 1);
   const Instant late{fromMillis(700)};
   CHECK_FALSE(hold.decide(late, EarlyArrival{late, std::nullopt}).until);
-  // No hundred milliseconds take more than a fair part of the returns.
-  std::map<std::int64_t, std::size_t> returns_by_slot;
-  for (const Instant at : replay.returns) ++returns_by_slot[toMillis(at.time_since_epoch()) / 100];
-  for (const auto& [slot, count] : returns_by_slot) CHECK(count * 10 <= replay.returns.size());
+  // No interval of 100 ms gets more than a tenth of the retries.
+  std::map<std::int64_t, std::size_t> retries_by_interval;
+  for (const Instant at : replay.retries) ++retries_by_interval[toMillis(at.time_since_epoch()) / 100];
+  for (const auto& [interval, count] : retries_by_interval) CHECK(count * 10 <= replay.retries.size());
 }
 
-TEST_CASE("a request is held no longer than its caller can use, and a refusal names a time after the start",
+TEST_CASE("a request is buffered no longer than its caller can use, and a refusal gives a retry time after the startup",
           "[start_hold]") {
   const auto holds = [](std::uint16_t after_start, std::uint16_t remaining) {
     const Instant started_at{std::chrono::seconds(10)};
--- a/tests/request/admission/uneven_engines.hpp
+++ b/tests/request/admission/uneven_engines.hpp
@@ -13,8 +13,8 @@
 
 #include "request/exchange/engine_selector.hpp"
 
-/// A zone of engines of several speeds in virtual time, for replays of what they bear: each runs some requests at once
-/// in the order of their arrival, and is slower than usual for moments.
+/// Simulates a zone of engines of several speeds in virtual time, for replays of their load limits. Each engine runs a
+/// limited number of requests at once in order of arrival, and is slower than usual for short periods.
 namespace hatchfork::request::replay {
 
 constexpr Instant kBegin{std::chrono::seconds(100)};
@@ -31,13 +31,13 @@
   double step_ms = 36;
   std::uint32_t events = 17;
   std::uint32_t prompt_tokens = 350;
-  /// Moments of another pace: their length, how often they are slow, and how slow at the most.
-  double moment_ms = 600;
+  /// Periods of another speed: their length, the share of slow periods, and the greatest slowdown.
+  double slowdown_period_ms = 600;
   double slow_share = 0.15;
-  double slowest = 2.5;
+  double max_slowdown = 2.5;
 };
 
-/// Something that happens at a time.
+/// Discrete-event clock: runs scheduled functions in order of time.
 class VirtualTime {
  public:
   void at(double when_ms, std::function<void()> what) { events_.push(Event{when_ms, ++order_, std::move(what)}); }
@@ -66,8 +66,8 @@
   double now_ms_ = 0;
 };
 
-/// What a request at an engine tells.
-struct Answering {
+/// Callbacks for the events of a request at an engine.
+struct RequestCallbacks {
   std::function<void(std::uint32_t pace)> began;
   std::function<void(const AnswerTiming& timing)> ended;
 };
@@ -82,7 +82,7 @@
       engines_[i].time = options_.times[i % options_.times.size()];
       for (int moment = 0; moment < 100; ++moment) {
         const bool is_slow = unit(random) < options_.slow_share;
-        engines_[i].paces.push_back(is_slow ? 1 + unit(random) * (options_.slowest - 1) : 1);
+        engines_[i].slowdowns.push_back(is_slow ? 1 + unit(random) * (options_.max_slowdown - 1) : 1);
       }
     }
   }
@@ -101,60 +101,61 @@
     return made;
   }
 
-  void send(const EngineId& engine, Answering answering) {
+  void send(const EngineId& engine, RequestCallbacks callbacks) {
     const std::size_t number = std::stoul(engine.value.substr(1));
     Engine& at = engines_[number];
-    at.queue.push_back(Waiting{time_.nowMs(), std::move(answering)});
+    at.queue.push_back(Queued{time_.nowMs(), std::move(callbacks)});
     serve(at);
   }
 
-  /// Time-weighted share of each engine's places that were taken.
-  std::vector<double> takenShares() const {
+  /// Time-weighted share of the slots of each engine that were in use.
+  std::vector<double> busyShares() const {
     std::vector<double> shares;
-    for (const Engine& engine : engines_) shares.push_back(engine.taken_ms / options_.slots / time_.nowMs());
+    for (const Engine& engine : engines_) shares.push_back(engine.busy_ms / options_.slots / time_.nowMs());
     return shares;
   }
 
  private:
-  struct Waiting {
+  struct Queued {
     double sent_ms = 0;
-    Answering answering;
+    RequestCallbacks callbacks;
   };
   struct Engine {
     double time = 1;
-    std::vector<double> paces;
+    std::vector<double> slowdowns;
     std::uint32_t running = 0;
-    double taken_ms = 0;
-    std::deque<Waiting> queue;
+    double busy_ms = 0;
+    std::deque<Queued> queue;
   };
 
-  double paceOf(const Engine& engine) const {
-    return engine.paces[static_cast<std::size_t>(time_.nowMs() / options_.moment_ms) % engine.paces.size()];
+  double slowdownOf(const Engine& engine) const {
+    return engine
+        .slowdowns[static_cast<std::size_t>(time_.nowMs() / options_.slowdown_period_ms) % engine.slowdowns.size()];
   }
 
   void serve(Engine& engine) {
     while (engine.running < options_.slots && !engine.queue.empty()) {
       ++engine.running;
-      const Waiting next = std::move(engine.queue.front());
+      const Queued next = std::move(engine.queue.front());
       engine.queue.pop_front();
-      const double factor = engine.time * paceOf(engine);
+      const double factor = engine.time * slowdownOf(engine);
       const double first_ms = options_.first_ms * factor;
       const double began_ms = time_.nowMs();
       time_.at(began_ms + first_ms, [this, &engine, next, began_ms] { begin(engine, next, began_ms); });
     }
   }
 
-  void begin(Engine& engine, const Waiting& request, double began_ms) {
-    const double pace = paceOf(engine);
-    request.answering.began(static_cast<std::uint32_t>(std::lround(pace * 100)));
+  void begin(Engine& engine, const Queued& request, double began_ms) {
+    const double pace = slowdownOf(engine);
+    request.callbacks.began(static_cast<std::uint32_t>(std::lround(pace * 100)));
     AnswerTiming timing;
     timing.first_ms = time_.nowMs() - request.sent_ms;
     timing.held_ms = options_.step_ms * (options_.events - 1) * engine.time * (1 + (pace - 1) / 2);
     timing.events = options_.events;
     time_.at(time_.nowMs() + timing.held_ms, [this, &engine, request, timing, began_ms] {
       --engine.running;
-      engine.taken_ms += time_.nowMs() - began_ms;
-      request.answering.ended(timing);
+      engine.busy_ms += time_.nowMs() - began_ms;
+      request.callbacks.ended(timing);
       serve(engine);
     });
   }
@@ -164,10 +165,10 @@
   std::vector<Engine> engines_;
 };
 
-/// Arrivals a second, from a time on until the next.
+/// Arrivals per second, each from a time in milliseconds until the next entry.
 using Load = std::vector<std::pair<double, double>>;
 
-/// Times of arrivals, as drawn from a seed, until `end_ms`.
+/// Draws arrival times in milliseconds until `end_ms`.
 inline std::vector<double> arrivals(const Load& load, double end_ms, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::vector<double> times;
--- a/tests/request/admission/urgency_order_test.cpp
+++ b/tests/request/admission/urgency_order_test.cpp
@@ -13,17 +13,19 @@
 
 }  // namespace
 
-TEST_CASE("without lack, every rank takes credits alike", "[admission][urgency]") {
+TEST_CASE("without a lack of credits, every rank may use them", "[admission][urgency]") {
   UrgencyOrder order;
   REQUIRE(order.mayTake(at(0), 0, 100));
   REQUIRE(order.mayTake(at(0), 7, 100));
 }
 
-TEST_CASE("while more urgent ones lack credits, the less urgent have a floor and no more", "[admission][urgency]") {
+TEST_CASE("while more urgent requests lack credits, less urgent requests get a floor and no more",
+          "[admission][urgency]") {
   UrgencyOrder order;
   int urgent = 0;
   int least = 0;
-  // A limit of 100 a second, asked by 500 urgent and 300 less urgent requests a second: a credit comes each 10 ms.
+  // The limit is 100 requests per second, so a credit becomes available each 10 ms; 500 urgent and 300 less urgent
+  // requests arrive per second.
   for (std::int64_t time = 0; time < 10000; ++time) {
     bool has_credit = time % 10 == 0;
     if (time % 10 < 3) {
@@ -46,14 +48,14 @@
   REQUIRE(least <= 130);
 }
 
-TEST_CASE("the most urgent never stand back", "[admission][urgency]") {
+TEST_CASE("the most urgent requests are never deferred", "[admission][urgency]") {
   UrgencyOrder order;
   order.noteLacked(at(0), 2);
   REQUIRE(order.mayTake(at(1), 0, 100));
   REQUIRE(order.mayTake(at(1), 2, 100));
 }
 
-TEST_CASE("once the urgent ones lack nothing, the others are free again", "[admission][urgency]") {
+TEST_CASE("once urgent requests lack no credits, the others are no longer deferred", "[admission][urgency]") {
   UrgencyOrder order;
   order.noteLacked(at(0), 0);
   order.noteTaken(at(1), 3);
--- a/tests/request/admission/yield_choice_test.cpp
+++ b/tests/request/admission/yield_choice_test.cpp
@@ -24,30 +24,30 @@
 
 }  // namespace
 
-TEST_CASE("of runs with slack the one with the least done gives way", "[admission][yield]") {
+TEST_CASE("of runs with slack the run with the least progress is preempted", "[admission][yield]") {
   REQUIRE(choose({candidate(100, 2000, 12000), candidate(20, 4400, 12000), candidate(60, 3200, 18000)}) == 1);
 }
 
-TEST_CASE("a run that would be late stays while another one would not", "[admission][yield]") {
+TEST_CASE("a run that would be late stays while another run would not", "[admission][yield]") {
   REQUIRE(choose({candidate(20, 4400, 5000), candidate(100, 2000, 12000)}) == 1);
 }
 
-TEST_CASE("where none has slack enough, the one with the most gives way", "[admission][yield]") {
+TEST_CASE("if no run has enough slack, the run with the most slack is preempted", "[admission][yield]") {
   REQUIRE(choose({candidate(20, 4400, 5000), candidate(100, 2000, 4200)}) == 0);
 }
 
-TEST_CASE("a run that ends in the time a place is needed is not cut", "[admission][yield]") {
+TEST_CASE("a run that ends before the slot is needed is not preempted", "[admission][yield]") {
   REQUIRE(choose({candidate(150, 40, 18000), candidate(151, 2000, 18000)}) == 1);
   REQUIRE_FALSE(choose({candidate(150, 40, 18000)}).has_value());
   REQUIRE_FALSE(choose({}).has_value());
 }
 
-TEST_CASE("a run that can go on after an event gives way before one that would begin anew", "[admission][yield]") {
+TEST_CASE("a run that can resume is preempted before a run that would start from the beginning", "[admission][yield]") {
   REQUIRE(choose({candidate(0, 5000, 18000, false), candidate(30, 4000, 18000)}) == 1);
 }
 
-TEST_CASE("what gives way hangs on no order, and never ends by itself in time", "[admission][yield]") {
-  const bool holds = rc::check("choice of what gives way", [] {
+TEST_CASE("the choice does not depend on the order, and never falls on a run that ends in time", "[admission][yield]") {
+  const bool holds = rc::check("choice of the run to preempt", [] {
     std::vector<YieldCandidate> candidates;
     const int count = *rc::gen::inRange(1, 9);
     for (int i = 0; i < count; ++i) {
--- a/tests/request/admission/zone_line_test.cpp
+++ b/tests/request/admission/zone_line_test.cpp
@@ -22,7 +22,7 @@
   return made;
 }
 
-/// The order in which the line gives places, until it is empty.
+/// Returns the numbers in the order in which the queue gives them slots, until the queue is empty.
 std::vector<LineNumber> served(ZoneLine line) {
   std::vector<LineNumber> order;
   while (!line.isEmpty()) {
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("in line urgent ones go first, then fresh ones, then by share, then by slack", "[line]") {
+TEST_CASE("the queue orders by class, then fresh before retried, then by share, then by slack", "[line]") {
   ZoneLine line;
   Standing returned = standing(0, 50);
   returned.has_returned = true;
@@ -53,7 +53,7 @@
   REQUIRE(served(line) == std::vector<LineNumber>{5, 4, 3, 2, 1});
 }
 
-TEST_CASE("the least urgent class has one of eight places while others wait", "[line]") {
+TEST_CASE("the least urgent class gets one of eight slots while others wait", "[line]") {
   ZoneLine line;
   for (LineNumber number = 1; number <= 32; ++number) line.enter(kNow, number, standing(0, 500));
   for (LineNumber number = 101; number <= 104; ++number) line.enter(kNow, number, standing(2, 500));
@@ -65,7 +65,7 @@
   }
 }
 
-TEST_CASE("a line is bounded, and names those that can't be in time", "[line]") {
+TEST_CASE("a queue is bounded, and reports requests that cannot be in time", "[line]") {
   ZoneLine line(ZoneLineLimits{3, 8});
   REQUIRE(line.enter(kNow, 1, standing(0, 30)));
   REQUIRE(line.enter(kNow, 2, standing(0, 10)));
@@ -78,7 +78,7 @@
   REQUIRE(line.waited(kNow + fromMillis(25), 1) == fromMillis(25));
 }
 
-TEST_CASE("whoever stands in line leaves it once, whatever comes and goes", "[line]") {
+TEST_CASE("each queued request leaves the queue exactly once", "[line]") {
   const bool holds = rc::check([] {
     ZoneLine line(ZoneLineLimits{40, 4});
     std::map<LineNumber, int> left;
