--- a/src/process/exchange/gateway_program.hpp
+++ b/src/process/exchange/gateway_program.hpp
@@ -95,7 +95,7 @@
   std::shared_ptr<connection::SlowReaders> slow_readers_;
   connection::EngineClient engines_;
   /// Of all requests that wait here, for whatever reason.
-  request::HoldBudget held_;
+  request::PendingBudget held_;
   StartGate start_gate_;
   request::EngineSelector selector_;
   request::ArrivalGate gate_;
--- a/src/process/exchange/rate_limit_client.cpp
+++ b/src/process/exchange/rate_limit_client.cpp
@@ -125,7 +125,7 @@
     ++counters_.over_limit;
     co_return sentAway(now, tenant, entry, reply);
   }
-  const request::HeldPlace place(holds_, waiter.limited.bytes);
+  const request::PendingReservation place(holds_, waiter.limited.bytes);
   if (!place.entered()) {
     ++counters_.over_limit;
     logWait(tenant, entry, waiter, "no_room");
--- a/src/process/exchange/rate_limit_client.hpp
+++ b/src/process/exchange/rate_limit_client.hpp
@@ -50,8 +50,8 @@
   /// Sends a question to a store; false if there is no connection.
   using SendFunction = std::function<bool(const ReplicaId& to, const fleet::CreditQuestionFrame& question)>;
 
-  RateLimitClient(connection::asio::io_context& context, request::RateLimitOptions options, request::HoldBudget& holds,
-                  SendFunction send)
+  RateLimitClient(connection::asio::io_context& context, request::RateLimitOptions options,
+                  request::PendingBudget& holds, SendFunction send)
       : context_(context), options_(options), holds_(holds), send_(std::move(send)) {}
 
   /// The stores that own limits, as the newest membership names them.
@@ -103,7 +103,7 @@
 
   connection::asio::io_context& context_;
   request::RateLimitOptions options_;
-  request::HoldBudget& holds_;
+  request::PendingBudget& holds_;
   SendFunction send_;
   std::vector<ReplicaId> owners_;
   std::map<TenantId, Entry> entries_;
--- a/src/process/store/job_executor.cpp
+++ b/src/process/store/job_executor.cpp
@@ -89,7 +89,7 @@
   starts_from_ = now + options_.loads_known_after;
   adopted_ = 0;
   // What was learned in an earlier leadership is old.
-  trough_ = request::BatchTrough();
+  trough_ = request::TroughScheduler();
   heard_stores_.clear();
   board_.startTerm(now, term);
   learnFromResults();
--- a/src/process/store/job_executor.hpp
+++ b/src/process/store/job_executor.hpp
@@ -96,7 +96,7 @@
   bool isServing(const EngineId& engine) const { return selector_.isServing(engine); }
   std::size_t running() const { return runs_.size(); }
   std::size_t waiting() const { return queue_.size() + held_.size(); }
-  const request::BatchTrough& trough() const { return trough_; }
+  const request::TroughScheduler& trough() const { return trough_; }
   const std::set<ServiceId>& batchServices() const { return batch_services_; }
   Duration wholeRunTime() const { return run_times_.wholeTime(); }
 
@@ -298,7 +298,7 @@
   std::size_t adopted_ = 0;
   request::RunTimeModel run_times_;
   std::set<ServiceId> batch_services_;
-  request::BatchTrough trough_;
+  request::TroughScheduler trough_;
   request::FairShare shares_;
   Instant trough_noted_at_{};
   Instant next_plan_{};
--- a/src/process/store/job_executor_trough.cpp
+++ b/src/process/store/job_executor_trough.cpp
@@ -86,7 +86,7 @@
   std::map<TenantId, double> work_before;
   for (const ItemPtr& run : queue_) {
     run->turn = 0;
-    if (request::isHopeless(now, run->order) || !trough_.isShort(run->service)) continue;
+    if (request::isHopeless(now, run->order) || !trough_.isRoomShort(run->service)) continue;
     const double work = toSeconds(run->order.time_left) * 1000;
     double& before = work_before[run->tenant];
     run->turn = shares_.startAfter(now, run->tenant, before, work);
@@ -146,13 +146,13 @@
 }
 
 JobExecutor::ItemPtr JobExecutor::runToYield(Instant now, const std::vector<ItemPtr>& runs, Duration needed_within) {
-  std::vector<request::YieldCandidate> candidates;
+  std::vector<request::PreemptionCandidate> candidates;
   for (const ItemPtr& run : runs) {
     run->order = dueItemOf(*run);
     candidates.push_back({run->events, run->last_event.has_value(), run->order});
   }
   if (options_.load.batch_by_slack) {
-    const auto chosen = request::chooseYield(now, candidates, needed_within, run_times_.wholeTime());
+    const auto chosen = request::choosePreemption(now, candidates, needed_within, run_times_.wholeTime());
     return chosen ? runs[*chosen] : nullptr;
   }
   ItemPtr chosen;
--- a/src/process/store/placement_service.hpp
+++ b/src/process/store/placement_service.hpp
@@ -84,7 +84,7 @@
     const void* connection = nullptr;
     Instant heard_at{};
     std::map<std::uint64_t, request::TicketId> tickets;
-    std::map<std::uint64_t, request::LineNumber> standing;
+    std::map<std::uint64_t, request::QueueEntryId> standing;
     /// When it was last told that its requests stand in line.
     Instant told_at{};
   };
@@ -117,12 +117,13 @@
   fleet::PlacementAnswer refusal(Instant now, const fleet::PlacementQuestion& question) const;
   /// Gives places to those who stand in line, and refuses those who can't be in time any more.
   void serveLines(Instant now);
-  bool serveOne(Instant now, request::ZoneLine& line);
-  void refuseLate(Instant now, request::ZoneLine& line);
+  bool serveOne(Instant now, request::ZoneQueue& line);
+  void refuseLate(Instant now, request::ZoneQueue& line);
   /// Takes a request out of the line, if it stands there.
   void leaveLine(Gateway& gateway, std::uint64_t number);
   /// Forgets a request that has left the line, and answers its gateway.
-  void answerStanding(request::LineNumber number, const std::function<fleet::PlacementAnswer(const Waiting&)>& answer);
+  void answerStanding(request::QueueEntryId number,
+                      const std::function<fleet::PlacementAnswer(const Waiting&)>& answer);
 
   GiveWayFunction give_way_;
   AnswerFunction answer_;
@@ -130,9 +131,9 @@
   ZoneId zone_;
   request::EngineSelector selector_;
   std::map<std::string, Gateway> gateways_;
-  std::map<ServiceId, request::ZoneLine> lines_;
-  std::map<request::LineNumber, Waiting> waiting_;
-  request::LineNumber last_line_number_ = 0;
+  std::map<ServiceId, request::ZoneQueue> lines_;
+  std::map<request::QueueEntryId, Waiting> waiting_;
+  request::QueueEntryId last_line_number_ = 0;
   PlacementCounters counters_;
 };
 
--- a/src/process/store/store_program.cpp
+++ b/src/process/store/store_program.cpp
@@ -281,10 +281,10 @@
   page.gauge("hatchfork_items_run_here", "Batch items that this store runs.", static_cast<double>(runner_->running()));
   page.gauge("hatchfork_items_waiting", "Batch items that wait for a slot.", static_cast<double>(executor_->waiting()));
   for (const ServiceId& service : executor_->batchServices()) {
-    const request::BatchTrough& trough = executor_->trough();
+    const request::TroughScheduler& trough = executor_->trough();
     page.gauge("hatchfork_batch_lasting_places",
                "Places that no expected rise of online requests takes, at the leader.",
-               trough.lastingPlaces(service, executor_->wholeRunTime()), {{"service", service.value}});
+               trough.lastingSlots(service, executor_->wholeRunTime()), {{"service", service.value}});
     page.gauge("hatchfork_batch_pressing", "How little slack waiting items have, from 0 to 1, at the leader.",
                trough.urgency(service), {{"service", service.value}});
   }
@@ -310,7 +310,7 @@
   fillLineMetrics(page);
   page.gauge("hatchfork_rate_limit_buckets", "Tenants whose rate limits this store has kept lately.",
              static_cast<double>(rate_limits_.buckets()));
-  const request::ReturnCounters returns = rate_limits_.returns();
+  const request::RetryCounters returns = rate_limits_.returns();
   const auto kept = [&page](const char* outcome, std::uint64_t value) {
     page.counter("hatchfork_return_credits_total", "Callers over a limit, by what was agreed and what became of it.",
                  static_cast<double>(value), {{"outcome", outcome}});
--- a/src/request/admission/batch_trough.cpp
+++ b/src/request/admission/batch_trough.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void BatchTrough::noteLoad(Instant now, const ServiceId& service, const std::map<ZoneId, ZoneLoad>& zones) {
+void TroughScheduler::noteLoad(Instant now, const ServiceId& service, const std::map<ZoneId, ZoneLoad>& zones) {
   Service& state = services_[service];
   std::erase_if(state.zones, [&zones](const auto& entry) { return !zones.contains(entry.first); });
   for (const auto& [id, load] : zones) {
@@ -21,12 +21,12 @@
   }
 }
 
-void BatchTrough::addRun(Zone& zone, Duration time_left) {
+void TroughScheduler::addRun(Zone& zone, Duration time_left) {
   const std::size_t spans = LoadForecast::spansWithin(time_left);
   for (std::size_t span = 0; span < spans; ++span) ++zone.runs[span];
 }
 
-void BatchTrough::noteBegun(const RunInFlight& run) {
+void TroughScheduler::noteBegun(const RunInFlight& run) {
   const auto service = services_.find(run.service);
   if (service == services_.end()) return;
   service->second.remaining_time += run.time_left;
@@ -36,11 +36,11 @@
 }
 
 /// Counts of independent arrivals vary by the square root of their mean.
-double BatchTrough::peakMargin(double online) const {
+double TroughScheduler::peakMargin(double online) const {
   return limits_.margin_deviations * std::sqrt(online);
 }
 
-double BatchTrough::urgencyForSlack(double slack, Duration whole_time) const {
+double TroughScheduler::urgencyForSlack(double slack, Duration whole_time) const {
   const double relaxed_slack = toSeconds(whole_time) * limits_.relaxed_slack_runs;
   const double urgent_slack = toSeconds(whole_time) * limits_.urgent_slack_runs;
   if (relaxed_slack <= urgent_slack) return 1;
@@ -49,7 +49,7 @@
 
 /// All runs continue until the load peak that leaves fewer slots than there are runs; after that, as many continue as
 /// there are slots.
-double BatchTrough::secondsUntilNextStart(const Service& service, double lasting_slots) {
+double TroughScheduler::secondsUntilNextStart(const Service& service, double lasting_slots) {
   const double remaining_time = toSeconds(service.remaining_time);
   if (service.runs <= lasting_slots) return remaining_time / lasting_slots;
   for (std::size_t span = 0; span < LoadForecast::kSpans; ++span) {
@@ -61,20 +61,20 @@
   return remaining_time / service.runs;
 }
 
-double BatchTrough::workBeyondSlots(const Service& service, double lasting_slots) {
+double TroughScheduler::workBeyondSlots(const Service& service, double lasting_slots) {
   if (service.runs <= lasting_slots) return 0;
   return (service.runs - lasting_slots) * toSeconds(service.remaining_time) / service.runs;
 }
 
-double BatchTrough::freeSlotsIn(const Service& service, std::size_t span) {
+double TroughScheduler::freeSlotsIn(const Service& service, std::size_t span) {
   double free_slots = 0;
   for (const auto& [id, zone] : service.zones)
     free_slots += std::max(0.0, zone.slots - zone.wave.forecast().most[span]);
   return free_slots;
 }
 
-std::vector<double> BatchTrough::plan(Instant now, const std::vector<RunInFlight>& runs,
-                                      const std::vector<WaitingItem>& waiting, Duration whole_time) {
+std::vector<double> TroughScheduler::plan(Instant now, const std::vector<RunInFlight>& runs,
+                                          const std::vector<WaitingItem>& waiting, Duration whole_time) {
   for (auto& [id, service] : services_) {
     service.urgency = 0;
     service.least_slack = kSlackWithoutItemsSeconds;
@@ -90,7 +90,7 @@
   };
   std::map<ServiceId, Progress> progress_by_service;
   for (const auto& [id, service] : services_) {
-    const double lasting_slots = std::max(1.0, lastingPlaces(id, whole_time));
+    const double lasting_slots = std::max(1.0, lastingSlots(id, whole_time));
     progress_by_service[id] = Progress{lasting_slots, secondsUntilNextStart(service, lasting_slots)};
   }
   std::vector<double> urgencies(waiting.size(), 0);
@@ -130,7 +130,7 @@
   return urgencies;
 }
 
-double BatchTrough::lastingPlaces(const ServiceId& id, Duration time_left) const {
+double TroughScheduler::lastingSlots(const ServiceId& id, Duration time_left) const {
   const auto service = services_.find(id);
   if (service == services_.end()) return 0;
   double lasting_slots = 0;
@@ -140,17 +140,17 @@
   return lasting_slots;
 }
 
-bool BatchTrough::isShort(const ServiceId& id) const {
+bool TroughScheduler::isRoomShort(const ServiceId& id) const {
   const auto service = services_.find(id);
   return service != services_.end() && service->second.least_slack < 0;
 }
 
-double BatchTrough::urgency(const ServiceId& id) const {
+double TroughScheduler::urgency(const ServiceId& id) const {
   const auto service = services_.find(id);
   return service == services_.end() ? 1 : service->second.urgency;
 }
 
-TroughVerdict BatchTrough::judgeZone(const ZoneId& id, const Zone& zone, Duration time_left, double urgency) const {
+TroughVerdict TroughScheduler::judgeZone(const ZoneId& id, const Zone& zone, Duration time_left, double urgency) const {
   TroughVerdict verdict;
   verdict.zone = id;
   verdict.online_now = zone.wave.level();
@@ -169,8 +169,8 @@
   return verdict;
 }
 
-TroughVerdict BatchTrough::judge(const ServiceId& id, Duration time_left, double urgency,
-                                 const std::optional<std::set<ZoneId>>& zones) const {
+TroughVerdict TroughScheduler::judge(const ServiceId& id, Duration time_left, double urgency,
+                                     const std::optional<std::set<ZoneId>>& zones) const {
   TroughVerdict best;
   const auto service = services_.find(id);
   if (service == services_.end()) return best;
--- a/src/request/admission/batch_trough.hpp
+++ b/src/request/admission/batch_trough.hpp
@@ -28,7 +28,7 @@
   DueItem order;
 };
 
-struct BatchTroughLimits {
+struct TroughSchedulerLimits {
   /// Items whose slack exceeds this number of whole runs, at the speed that lasting room allows, wait for such room.
   /// Items with less slack than `urgent_slack_runs` start in any slot that is free now.
   double relaxed_slack_runs = 1;
@@ -58,9 +58,9 @@
 /// ends. The less slack the queued items have at the speed that this rule allows, the less room is reserved for the
 /// next peak, down to none: then a run starts wherever a slot is free now. State is soft: a new instance has seen no
 /// load cycle and reserves nothing. No I/O, no clock. Not thread-safe.
-class BatchTrough {
+class TroughScheduler {
  public:
-  explicit BatchTrough(BatchTroughLimits limits = {}) : limits_(limits) {}
+  explicit TroughScheduler(TroughSchedulerLimits limits = {}) : limits_(limits) {}
 
   /// Records the current load of the service in each zone. Expected several times a second.
   void noteLoad(Instant now, const ServiceId& service, const std::map<ZoneId, ZoneLoad>& zones);
@@ -80,14 +80,14 @@
   /// Urgency of the most urgent queued item of the service; one if the load of the service is not known.
   double urgency(const ServiceId& service) const;
   /// True if lasting room is too small for all queued items to finish in time.
-  bool isShort(const ServiceId& service) const;
+  bool isRoomShort(const ServiceId& service) const;
   /// Number of runs that can be in flight at once without being preempted by the highest expected load.
-  double lastingPlaces(const ServiceId& service, Duration time_left) const;
+  double lastingSlots(const ServiceId& service, Duration time_left) const;
 
  private:
   struct Zone {
     double slots = 0;
-    LoadWave wave;
+    LoadForecaster wave;
     /// Runs expected to be in flight at the start of each span.
     std::array<double, LoadForecast::kSpans> runs{};
   };
@@ -112,7 +112,7 @@
   double peakMargin(double online) const;
   double urgencyForSlack(double slack, Duration whole_time) const;
 
-  BatchTroughLimits limits_;
+  TroughSchedulerLimits limits_;
   std::map<ServiceId, Service> services_;
 };
 
--- a/src/request/admission/byte_budget.hpp
+++ b/src/request/admission/byte_budget.hpp
@@ -12,7 +12,7 @@
 namespace hatchfork::request {
 
 /// Identifies the bytes buffered for one peer.
-using HeldId = std::uint64_t;
+using BufferId = std::uint64_t;
 
 struct ByteBudgetLimits {
   /// Bound on the bytes buffered for all peers together.
@@ -21,14 +21,14 @@
   Duration patience = std::chrono::seconds(10);
   /// Shorter limit while more than half of the bound is in use: longer than a link with packet loss needs to resume,
   /// shorter than other peers need to fill the rest of the bound.
-  Duration patience_under_pressure = std::chrono::seconds(2);
+  Duration silence_limit_under_pressure = std::chrono::seconds(2);
   /// Limit above the bound itself. A peer silent for less than this is not slow: its bytes may still be in transit.
-  Duration least_patience = fromMillis(500);
+  Duration min_silence_limit = fromMillis(500);
 };
 
 /// A peer to disconnect.
 struct SlowPeer {
-  HeldId held = 0;
+  BufferId held = 0;
   std::size_t bytes = 0;
   /// Time since the peer last accepted a byte.
   Duration silent_for{};
@@ -43,21 +43,21 @@
   explicit ByteBudget(ByteBudgetLimits limits) : limits_(limits) {}
 
   /// Starts buffering `bytes`; the peer is not expected to read yet.
-  HeldId hold(std::size_t bytes);
+  BufferId hold(std::size_t bytes);
   /// Starts an empty buffer that grows by `add` until `offer`.
-  HeldId beginCollecting();
-  void add(HeldId held, std::size_t bytes);
+  BufferId beginCollecting();
+  void add(BufferId held, std::size_t bytes);
   /// Marks the buffer as offered: from now on the peer is expected to read.
-  void offer(Instant now, HeldId held);
+  void offer(Instant now, BufferId held);
   /// Records that the peer accepted `bytes`.
-  void noteTaken(Instant now, HeldId held, std::size_t bytes);
-  void release(HeldId held);
+  void noteTaken(Instant now, BufferId held, std::size_t bytes);
+  void release(BufferId held);
 
   /// False if new work that needs large buffers should wait: from three quarters of the bound on.
   bool hasRoom() const;
   /// True if the buffer may grow: there is room, or the buffer is the oldest that is still growing and little is
   /// offered to peers. The exception keeps growing buffers from all waiting for each other.
-  bool mayGrow(HeldId held) const;
+  bool mayGrow(BufferId held) const;
   /// Returns the peers to disconnect now, the largest buffer first. Their bytes count until they are released.
   std::vector<SlowPeer> slowPeers(Instant now) const;
 
@@ -73,13 +73,13 @@
   };
 
   ByteBudgetLimits limits_;
-  std::map<HeldId, Buffer> buffers_;
+  std::map<BufferId, Buffer> buffers_;
   /// Buffers that are still growing; the first is the oldest.
-  std::set<HeldId> growing_;
+  std::set<BufferId> growing_;
   std::size_t bytes_ = 0;
   /// Part of `bytes_` that has been offered to peers.
   std::size_t offered_bytes_ = 0;
-  HeldId last_id_ = 0;
+  BufferId last_id_ = 0;
 };
 
 }  // namespace hatchfork::request
--- a/src/request/admission/credit_ask.cpp
+++ b/src/request/admission/credit_ask.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-CreditAsk askOf(Duration objective, Duration left, Duration caller_left) {
+CreditAsk creditRequestFor(Duration objective, Duration left, Duration caller_left) {
   CreditAsk ask;
   ask.at_all = std::max(Duration::zero(), left / kRemainingDivisor);
   ask.in_time = std::min(objective / kObjectiveDivisor, ask.at_all);
@@ -28,7 +28,7 @@
   return ask;
 }
 
-std::uint64_t contentNumber(const RequestContent& content) {
+std::uint64_t contentHash(const RequestContent& content) {
   std::uint64_t number = 0;
   for (const std::string_view part : {content.caller, content.method, content.host, content.target, content.body}) {
     number = XXH3_64bits_withSeed(part.data(), part.size(), number + part.size());
--- a/src/request/admission/engine_pace.hpp
+++ b/src/request/admission/engine_pace.hpp
@@ -9,7 +9,7 @@
 /// idle.
 namespace hatchfork::request {
 
-struct EnginePaceLimits {
+struct EngineSpeedLimits {
   /// Number of observations that the service mean counts for against an engine's own observations.
   double prior_observations = 3;
   /// Least weights of a new observation: in the mean of an engine, and in the mean of a service.
@@ -52,14 +52,14 @@
 };
 
 /// Mean speed of the engines of a service. No I/O, no clock.
-class ServicePace {
+class ServiceSpeed {
  public:
   /// Records that an engine of the service reported its speed: engines of the service are not equally fast.
-  void noteTold() { is_uneven_ = true; }
-  void note(const AnswerTiming& timing, const EnginePaceLimits& limits);
+  void noteReported() { is_uneven_ = true; }
+  void note(const AnswerTiming& timing, const EngineSpeedLimits& limits);
   /// Records a time to the first byte at an engine that had a free slot. `reading_ms` is the part of it spent on
   /// reading the prompt.
-  void noteFirst(double first_ms, double reading_ms, const EnginePaceLimits& limits);
+  void noteFirst(double first_ms, double reading_ms, const EngineSpeedLimits& limits);
 
   /// True if engines of the service report their speed, so that they are not taken as equal.
   bool isUneven() const { return is_uneven_; }
@@ -76,27 +76,28 @@
 
 /// Speed of one incarnation of an engine, learned from answers and reported by the engine. A new incarnation starts
 /// with a new instance. No I/O, no clock.
-class EnginePace {
+class EngineSpeed {
  public:
-  void note(const AnswerTiming& timing, const ServicePace& service, const EnginePaceLimits& limits);
+  void note(const AnswerTiming& timing, const ServiceSpeed& service, const EngineSpeedLimits& limits);
   /// Records the slowdown that the engine reports: `factor` is the time that work takes now relative to the engine's
   /// usual time.
-  void noteTold(Instant now, double factor, const EnginePaceLimits& limits);
+  void noteReported(Instant now, double factor, const EngineSpeedLimits& limits);
 
   /// Learned slowdown: time of a step relative to the mean engine of the service, below one for fast engines.
-  double learned(const ServicePace& service, const EnginePaceLimits& limits) const;
+  double learned(const ServiceSpeed& service, const EngineSpeedLimits& limits) const;
   /// Reported slowdown, which decays to one with its age.
-  double told(Instant now, const EnginePaceLimits& limits) const;
+  double reported(Instant now, const EngineSpeedLimits& limits) const;
   /// Learned and reported slowdown combined.
-  double slowness(Instant now, const ServicePace& service, const EnginePaceLimits& limits) const {
-    return learned(service, limits) * told(now, limits);
+  double slowness(Instant now, const ServiceSpeed& service, const EngineSpeedLimits& limits) const {
+    return learned(service, limits) * reported(now, limits);
   }
   /// Age of the last report in milliseconds; -1 if the engine reported nothing.
-  std::int64_t toldAgeMs(Instant now) const {
+  std::int64_t reportedAgeMs(Instant now) const {
     return reported_at_ == Instant::min() ? -1 : toMillis(now - reported_at_);
   }
   /// Slots of the engine in units of slots of the mean engine.
-  double effectiveSlots(Instant now, double places, const ServicePace& service, const EnginePaceLimits& limits) const {
+  double effectiveSlots(Instant now, double places, const ServiceSpeed& service,
+                        const EngineSpeedLimits& limits) const {
     return places / slowness(now, service, limits);
   }
 
--- a/src/request/admission/hold_budget.cpp
+++ b/src/request/admission/hold_budget.cpp
@@ -4,10 +4,10 @@
 
 namespace hatchfork::request {
 
-HoldBudget::HoldBudget(std::size_t max_requests, std::size_t max_bytes)
+PendingBudget::PendingBudget(std::size_t max_requests, std::size_t max_bytes)
     : max_requests_(max_requests), max_bytes_(max_bytes) {}
 
-bool HoldBudget::tryEnter(std::size_t bytes) {
+bool PendingBudget::tryEnter(std::size_t bytes) {
   if (requests_ >= max_requests_) return false;
   if (bytes > max_bytes_ - bytes_) return false;
   requests_ += 1;
@@ -15,15 +15,15 @@
   return true;
 }
 
-void HoldBudget::leave(std::size_t bytes) {
+void PendingBudget::leave(std::size_t bytes) {
   requests_ -= std::min<std::size_t>(requests_, 1);
   bytes_ -= std::min(bytes_, bytes);
 }
 
-HeldPlace::HeldPlace(HoldBudget& budget, std::size_t bytes)
+PendingReservation::PendingReservation(PendingBudget& budget, std::size_t bytes)
     : budget_(budget), bytes_(bytes), entered_(budget.tryEnter(bytes)) {}
 
-HeldPlace::~HeldPlace() {
+PendingReservation::~PendingReservation() {
   if (entered_) budget_.leave(bytes_);
 }
 
--- a/src/request/admission/hold_budget.hpp
+++ b/src/request/admission/hold_budget.hpp
@@ -6,9 +6,9 @@
 
 /// Bounds the pending requests of a gateway by count and by bytes of their bodies, over all reasons to wait. In a surge
 /// or at startup, more callers may wait than the process has memory for; requests that do not fit are refused at once.
-class HoldBudget {
+class PendingBudget {
  public:
-  HoldBudget(std::size_t max_requests, std::size_t max_bytes);
+  PendingBudget(std::size_t max_requests, std::size_t max_bytes);
 
   /// Reserves room for one request with a body of `bytes`. Returns false and reserves nothing if there is no room.
   bool tryEnter(std::size_t bytes);
@@ -26,18 +26,18 @@
 };
 
 /// Scoped reservation in the budget, released by the destructor. The budget must outlive the reservation.
-class HeldPlace {
+class PendingReservation {
  public:
   /// Tries to reserve room; `entered` reports whether there was room.
-  HeldPlace(HoldBudget& budget, std::size_t bytes);
-  ~HeldPlace();
-  HeldPlace(const HeldPlace&) = delete;
-  HeldPlace& operator=(const HeldPlace&) = delete;
+  PendingReservation(PendingBudget& budget, std::size_t bytes);
+  ~PendingReservation();
+  PendingReservation(const PendingReservation&) = delete;
+  PendingReservation& operator=(const PendingReservation&) = delete;
 
   bool entered() const { return entered_; }
 
  private:
-  HoldBudget& budget_;
+  PendingBudget& budget_;
   std::size_t bytes_;
   bool entered_;
 };
--- a/src/request/admission/load_wave.hpp
+++ b/src/request/admission/load_wave.hpp
@@ -9,7 +9,7 @@
 
 namespace hatchfork::request {
 
-struct LoadWaveLimits {
+struct LoadForecasterLimits {
   /// Counts are kept in bins of length `bin`, as the maximum of each bin, for `kept_for`.
   Duration bin = fromMillis(100);
   Duration kept_for = std::chrono::seconds(30);
@@ -49,9 +49,9 @@
 /// Learns the recent course of online load and forecasts it, so that batch work can finish before a rise. Detects
 /// periodic load (load cycles) with a period of some seconds. Without a period, the load is expected to rise again as
 /// far as it recently rose within the same time, up to the highest recorded count. No I/O, no clock. Not thread-safe.
-class LoadWave {
+class LoadForecaster {
  public:
-  explicit LoadWave(LoadWaveLimits limits = {}) : limits_(limits) {}
+  explicit LoadForecaster(LoadForecasterLimits limits = {}) : limits_(limits) {}
 
   void note(Instant now, double in_flight);
   double level() const { return bins_.empty() ? 0 : bins_.back(); }
@@ -76,7 +76,7 @@
   void makeForecast();
 
   using Rises = std::array<double, LoadForecast::kSpans>;
-  LoadWaveLimits limits_;
+  LoadForecasterLimits limits_;
   std::deque<double> bins_;
   std::deque<Rises> rises_;
   std::int64_t open_bin_ = -1;
--- a/src/request/admission/return_schedule.cpp
+++ b/src/request/admission/return_schedule.cpp
@@ -16,20 +16,20 @@
 
 }  // namespace
 
-ReturnSchedule::ReturnSchedule(ReturnScheduleLimits limits) : limits_(limits), fresh_(limits.demand_averaging_time) {}
+RetrySchedule::RetrySchedule(RetryScheduleLimits limits) : limits_(limits), fresh_(limits.demand_averaging_time) {}
 
-void ReturnSchedule::noteArrivals(Instant now, double arrivals) {
+void RetrySchedule::noteArrivals(Instant now, double arrivals) {
   fresh_.note(now, arrivals);
 }
 
-void ReturnSchedule::removeEntry(Timeline::iterator entry, bool is_reserved) {
+void RetrySchedule::removeEntry(Timeline::iterator entry, bool is_reserved) {
   const auto [first, last] = by_content_.equal_range(entry->second);
   const auto known = std::find_if(first, last, [&](const auto& item) { return item.second.key == entry->first; });
   if (known != last) by_content_.erase(known);
   (is_reserved ? promised_ : expected_).erase(entry);
 }
 
-void ReturnSchedule::expire(Instant now) {
+void RetrySchedule::expire(Instant now) {
   while (!promised_.empty() && now > promised_.begin()->first.first + limits_.kept_for) {
     ++counters_.lapsed;
     removeEntry(promised_.begin(), true);
@@ -38,7 +38,7 @@
     removeEntry(expected_.begin(), false);
 }
 
-std::size_t ReturnSchedule::kept(Instant now, double rate, double capacity) {
+std::size_t RetrySchedule::kept(Instant now, double rate, double capacity) {
   expire(now);
   const Instant soon = now + timeToGain(kSequences, rate);
   std::size_t due = 0;
@@ -52,7 +52,7 @@
   return due;
 }
 
-void ReturnSchedule::addEntry(Instant due, std::uint64_t content, bool is_reserved) {
+void RetrySchedule::addEntry(Instant due, std::uint64_t content, bool is_reserved) {
   Timeline& timeline = is_reserved ? promised_ : expected_;
   const Key key{due, ++last_number_};
   timeline.emplace(key, content);
@@ -60,7 +60,7 @@
   if (timeline.size() > limits_.max_expected) removeEntry(timeline.begin(), is_reserved);
 }
 
-std::optional<ReturnSchedule::Entry> ReturnSchedule::takeEntry(std::uint64_t content) {
+std::optional<RetrySchedule::Entry> RetrySchedule::takeEntry(std::uint64_t content) {
   const auto [first, last] = by_content_.equal_range(content);
   if (first == last) return std::nullopt;
   // Of several entries with the same content, the one that is due first is used.
@@ -72,12 +72,12 @@
   return found;
 }
 
-double ReturnSchedule::spare(Instant now, double rate) const {
+double RetrySchedule::spare(Instant now, double rate) const {
   if (now < full_until_) return 0;
   return std::clamp(rate - fresh_.rate(now), 0.0, rate);
 }
 
-std::optional<Instant> ReturnSchedule::nextDue(Instant now, Instant& last_due, double rate, Duration longest) {
+std::optional<Instant> RetrySchedule::nextDue(Instant now, Instant& last_due, double rate, Duration longest) {
   if (rate <= 0) return std::nullopt;
   const Instant due = std::max(last_due, now) + timeToGain(1, rate);
   if (due > now + longest) return std::nullopt;
@@ -85,7 +85,7 @@
   return due;
 }
 
-CreditReply ReturnSchedule::judge(Instant now, const CreditAsk& ask, double rate, double capacity, double level) {
+CreditReply RetrySchedule::judge(Instant now, const CreditAsk& ask, double rate, double capacity, double level) {
   expire(now);
   const std::optional<Entry> known = takeEntry(ask.content);
   if (known && known->is_reserved) return judgeReserved(now, ask, known->key.first, rate, level);
@@ -103,7 +103,7 @@
   return known ? judgeRetried(now, ask, rate) : judgeFresh(now, ask, rate);
 }
 
-CreditReply ReturnSchedule::judgeReserved(Instant now, const CreditAsk& ask, Instant due, double rate, double level) {
+CreditReply RetrySchedule::judgeReserved(Instant now, const CreditAsk& ask, Instant due, double rate, double level) {
   const bool is_early = now + timeToGain(kSequences, rate) < due;
   if (!is_early && level >= 1) {
     ++counters_.used;
@@ -116,7 +116,7 @@
   return {ask.content, waits_at_gateway ? CreditOutcome::kWait : CreditOutcome::kReturn, next - now};
 }
 
-CreditReply ReturnSchedule::judgeFresh(Instant now, const CreditAsk& ask, double rate) {
+CreditReply RetrySchedule::judgeFresh(Instant now, const CreditAsk& ask, double rate) {
   const double sequence_rate = std::max(limits_.floor_share * rate, limits_.spare_share * spare(now, rate));
   if (const auto due = nextDue(now, last_refused_due_, sequence_rate, ask.away)) {
     ++counters_.promised;
@@ -129,7 +129,7 @@
   return {ask.content, CreditOutcome::kReturnUnkept, ask.away};
 }
 
-CreditReply ReturnSchedule::judgeRetried(Instant now, const CreditAsk& ask, double rate) {
+CreditReply RetrySchedule::judgeRetried(Instant now, const CreditAsk& ask, double rate) {
   const double sequence_rate = limits_.spare_share * spare(now, rate);
   if (const auto due = nextDue(now, last_late_due_, sequence_rate, std::max(ask.in_time, ask.at_all))) {
     ++counters_.promised;
--- a/src/request/admission/return_schedule.hpp
+++ b/src/request/admission/return_schedule.hpp
@@ -15,7 +15,7 @@
 /// after it.
 namespace hatchfork::request {
 
-struct ReturnScheduleLimits {
+struct RetryScheduleLimits {
   /// Part of the limit that is reserved ahead while fresh requests alone use the whole limit, so that refused callers
   /// are not starved. Small, because a fresh request is worth more to its caller than a request that was refused
   /// before.
@@ -37,7 +37,7 @@
   Duration plenty_time = fromMillis(100);
 };
 
-struct ReturnCounters {
+struct RetryCounters {
   std::uint64_t promised = 0;
   /// Reservations used by the request they were made for, and reservations that expired because the request did not
   /// come.
@@ -54,9 +54,9 @@
 /// requests. Due times are spaced so that the bucket fills between them. No I/O, no clock. Not thread-safe.
 ///
 /// Cost: one look-up per request. Memory is bounded by `max_expected` and by time.
-class ReturnSchedule {
+class RetrySchedule {
  public:
-  explicit ReturnSchedule(ReturnScheduleLimits limits = {});
+  explicit RetrySchedule(RetryScheduleLimits limits = {});
 
   /// Records fresh and retried requests that arrived at gateways.
   void noteArrivals(Instant now, double arrivals);
@@ -69,7 +69,7 @@
   /// Assumes until `until` that fresh requests use the whole limit; only `floor_share` is reserved until then.
   void assumeFullUntil(Instant until) { full_until_ = until; }
 
-  const ReturnCounters& counters() const { return counters_; }
+  const RetryCounters& counters() const { return counters_; }
   std::size_t promised() const { return promised_.size(); }
   std::size_t expected() const { return expected_.size(); }
 
@@ -95,7 +95,7 @@
   CreditReply judgeFresh(Instant now, const CreditAsk& ask, double rate);
   CreditReply judgeRetried(Instant now, const CreditAsk& ask, double rate);
 
-  ReturnScheduleLimits limits_;
+  RetryScheduleLimits limits_;
   RateMeter fresh_;
   UrgencyOrder order_;
   Instant full_until_{};
@@ -106,7 +106,7 @@
   /// Last reserved due time of refused callers, and of requests that wait for a late answer.
   Instant last_refused_due_{};
   Instant last_late_due_{};
-  ReturnCounters counters_;
+  RetryCounters counters_;
 };
 
 }  // namespace hatchfork::request
--- a/src/request/admission/start_hold.cpp
+++ b/src/request/admission/start_hold.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-StartDecision StartHold::decide(Instant now, const EarlyArrival& arrival) {
+StartupDecision StartupAdmission::decide(Instant now, const EarlyArrival& arrival) {
   Instant until = std::min(arrival.received_at + kMaxBuffering, started_at_ + kUsualStartup);
   if (arrival.remaining) until = std::min(until, arrival.received_at + *arrival.remaining / kRemainingDivisor);
   const Duration come_back_after = comeBackAfter(std::max(now, until));
@@ -27,7 +27,7 @@
   return {until, come_back_after};
 }
 
-Duration StartHold::comeBackAfter(Instant now) {
+Duration StartupAdmission::comeBackAfter(Instant now) {
   std::uniform_int_distribution<Duration::rep> jitter(0, kRetryJitter.count());
   const Duration until_usual_end = started_at_ + kUsualStartup - now;
   return std::max(kMinRetryDelay, until_usual_end) + Duration(jitter(random_));
--- a/src/request/admission/start_hold.hpp
+++ b/src/request/admission/start_hold.hpp
@@ -16,7 +16,7 @@
 };
 
 /// Decision on an early request: buffered until `until`, or refused at once.
-struct StartDecision {
+struct StartupDecision {
   /// Empty if the request is refused.
   std::optional<Instant> until;
   /// Delay after which the caller should retry if the request is refused, now or at `until`.
@@ -28,11 +28,11 @@
 /// can serve, and a refusal sends a caller away for longer than the rest of the startup takes. A request is buffered
 /// only for as long as its caller can still use the answer, and only while startup may end soon; later requests are
 /// refused at once. No I/O, no clock.
-class StartHold {
+class StartupAdmission {
  public:
-  StartHold(Instant started_at, std::uint64_t seed) : started_at_(started_at), random_(seed) {}
+  StartupAdmission(Instant started_at, std::uint64_t seed) : started_at_(started_at), random_(seed) {}
 
-  StartDecision decide(Instant now, const EarlyArrival& arrival);
+  StartupDecision decide(Instant now, const EarlyArrival& arrival);
   /// Retry delay for a caller refused now: after the expected end of the startup, with jitter so that not all callers
   /// retry at once.
   Duration comeBackAfter(Instant now);
--- a/src/request/admission/yield_choice.hpp
+++ b/src/request/admission/yield_choice.hpp
@@ -11,7 +11,7 @@
 namespace hatchfork::request {
 
 /// A batch run whose slot an online request needs.
-struct YieldCandidate {
+struct PreemptionCandidate {
   /// Number of events that the item has produced over all its runs.
   std::uint64_t events = 0;
   /// True if a later run can resume after the last event.
@@ -19,7 +19,7 @@
   DueItem order;
 };
 
-struct YieldLimits {
+struct PreemptionLimits {
   /// Least delay before a preempted item starts again.
   Duration min_restart_delay = fromMillis(200);
   /// An item has enough slack to be preempted if its slack afterwards is at least this number of whole runs.
@@ -30,7 +30,8 @@
 /// run that ends by itself within `needed_within` is never chosen. Of the runs with enough slack, the run with the
 /// least progress is chosen; if no run has enough slack, the run with the most slack. Empty if each run ends in time by
 /// itself. `whole_time` is the duration of a whole run.
-std::optional<std::size_t> chooseYield(Instant now, const std::vector<YieldCandidate>& candidates,
-                                       Duration needed_within, Duration whole_time, const YieldLimits& limits = {});
+std::optional<std::size_t> choosePreemption(Instant now, const std::vector<PreemptionCandidate>& candidates,
+                                            Duration needed_within, Duration whole_time,
+                                            const PreemptionLimits& limits = {});
 
 }  // namespace hatchfork::request
--- a/src/request/admission/zone_line.hpp
+++ b/src/request/admission/zone_line.hpp
@@ -15,7 +15,7 @@
 /// request late.
 namespace hatchfork::request {
 
-struct ZoneLineLimits {
+struct ZoneQueueLimits {
   /// Bound on the queued requests of one service.
   std::size_t max_queued = 4000;
   /// While a less urgent class waits, the least urgent class gets one of this number of slots.
@@ -23,10 +23,10 @@
 };
 
 /// Identifies a queued request; chosen by the caller.
-using LineNumber = std::uint64_t;
+using QueueEntryId = std::uint64_t;
 
 /// Properties that determine the order of a queued request.
-struct Standing {
+struct QueuedRequest {
   /// Rank of the request class; lower ranks are more urgent.
   std::uint32_t priority = 0;
   /// True if the request was refused before and is a retry: it is late already, so fresh requests of its class go
@@ -43,36 +43,36 @@
 
 /// Requests of one service that wait for a slot at any engine, in scheduling order: by class, fresh requests before
 /// retries, by share, by slack. Slots are tracked by the caller. No I/O, no clock. Not thread-safe.
-class ZoneLine {
+class ZoneQueue {
  public:
-  explicit ZoneLine(ZoneLineLimits limits = {}) : limits_(limits) {}
+  explicit ZoneQueue(ZoneQueueLimits limits = {}) : limits_(limits) {}
 
   /// Adds a request. Returns false if the queue is full or already contains the number.
-  bool enter(Instant now, LineNumber number, const Standing& standing);
+  bool enter(Instant now, QueueEntryId number, const QueuedRequest& standing);
   /// Removes a request for any reason. Returns false if the request is not queued.
-  bool leave(LineNumber number);
+  bool leave(QueueEntryId number);
   /// Removes a request that got a slot, and counts the slot for the floor of less urgent classes.
-  void noteServed(LineNumber number);
+  void noteServed(QueueEntryId number);
   /// Returns the first requests, at most `most`, in the order in which slots are to be offered to them.
-  std::vector<LineNumber> first(std::size_t most) const;
+  std::vector<QueueEntryId> first(std::size_t most) const;
   /// Returns the requests whose latest start has passed; they stay queued until they leave.
-  std::vector<LineNumber> late(Instant now) const;
+  std::vector<QueueEntryId> late(Instant now) const;
   /// Returns the number of requests that would be served before a request with these properties added now.
-  std::size_t ahead(const Standing& standing) const;
-  std::size_t aheadOf(LineNumber number) const;
+  std::size_t ahead(const QueuedRequest& standing) const;
+  std::size_t aheadOf(QueueEntryId number) const;
 
   std::size_t size() const { return queued_.size(); }
   bool isEmpty() const { return queued_.empty(); }
-  bool has(LineNumber number) const { return queued_.contains(number); }
-  const Standing& at(LineNumber number) const { return queued_.at(number).standing; }
-  Duration waited(Instant now, LineNumber number) const { return now - queued_.at(number).enqueued_at; }
+  bool has(QueueEntryId number) const { return queued_.contains(number); }
+  const QueuedRequest& at(QueueEntryId number) const { return queued_.at(number).standing; }
+  Duration waited(Instant now, QueueEntryId number) const { return now - queued_.at(number).enqueued_at; }
 
  private:
   /// Sort key within a class.
   using SortKey = std::tuple<bool, double, Instant, std::uint64_t>;
-  using Class = std::map<SortKey, LineNumber>;
+  using Class = std::map<SortKey, QueueEntryId>;
   struct Queued {
-    Standing standing;
+    QueuedRequest standing;
     SortKey key;
     Instant enqueued_at{};
   };
@@ -80,11 +80,11 @@
   /// True if the next slot belongs to the least urgent class.
   bool isFloorDue() const { return classes_.size() > 1 && given_to_urgent_ + 1 >= limits_.floor_every; }
 
-  ZoneLineLimits limits_;
+  ZoneQueueLimits limits_;
   std::map<std::uint32_t, Class> classes_;
-  std::unordered_map<LineNumber, Queued> queued_;
+  std::unordered_map<QueueEntryId, Queued> queued_;
   /// Queued requests by latest start.
-  std::set<std::pair<Instant, LineNumber>> by_latest_start_;
+  std::set<std::pair<Instant, QueueEntryId>> by_latest_start_;
   std::uint64_t last_sequence_ = 0;
   /// Slots given to the most urgent class since the last slot of another class.
   std::uint32_t given_to_urgent_ = 0;
--- a/src/request/exchange/engine_selector.cpp
+++ b/src/request/exchange/engine_selector.cpp
@@ -109,8 +109,8 @@
 
 void EngineSelector::takePace(Instant now, EngineState& state, std::uint32_t pace) {
   if (state.service_pace == nullptr) return;
-  state.service_pace->noteTold();
-  state.pace.noteTold(now, pace / kUsualPace, limits_.pace);
+  state.service_pace->noteReported();
+  state.pace.noteReported(now, pace / kUsualPace, limits_.pace);
 }
 
 void EngineSelector::notePace(Instant now, TicketId ticket, std::uint32_t pace) {
--- a/src/request/exchange/engine_selector.hpp
+++ b/src/request/exchange/engine_selector.hpp
@@ -112,7 +112,7 @@
   double give_way_ms = 10;
   /// How the pace of engines is learned; false where all engines of a service are taken as equal.
   bool learns_pace = true;
-  EnginePaceLimits pace;
+  EngineSpeedLimits pace;
   /// Where engines are uneven: what a place at one whose places are all taken but one costs more than at an idle one,
   /// so that a fast one gets more requests and yet not all of them: its end would strike them all.
   double even_fill_ms = 400;
@@ -372,7 +372,7 @@
   /// Mean time that an online request of a service holds its slot.
   std::map<ServiceId, double> hold_ms_;
   /// What is usual at the engines of a service; engines point into it.
-  std::map<ServiceId, ServicePace> paces_;
+  std::map<ServiceId, ServiceSpeed> paces_;
   std::set<ZoneId> evacuated_;
   std::map<ServiceId, RoutedService> services_;
   std::map<ServiceId, EnginePool> pools_;
--- a/src/request/exchange/engine_selector_choice.cpp
+++ b/src/request/exchange/engine_selector_choice.cpp
@@ -179,7 +179,7 @@
   choice.engine = state.record;
   choice.cost_ms = cost_ms;
   choice.slowness = slowness(now, state);
-  choice.pace_age_ms = state.pace.toldAgeMs(now);
+  choice.pace_age_ms = state.pace.reportedAgeMs(now);
   choice.expected_first_ms =
       std::max(0.0, readingMs(now, state, query, kept, choice.slowness) + paceMs(state, choice.slowness));
   // A guessed time would turn callers back just when processes have started anew.
--- a/src/request/limits/rate_limit_owner.cpp
+++ b/src/request/limits/rate_limit_owner.cpp
@@ -16,7 +16,7 @@
 /// are lacking at another one.
 constexpr Duration kTightBelow = fromMillis(100);
 
-void add(ReturnCounters& sum, const ReturnCounters& part) {
+void add(RetryCounters& sum, const RetryCounters& part) {
   sum.promised += part.promised;
   sum.used += part.used;
   sum.lapsed += part.lapsed;
@@ -38,7 +38,7 @@
 RateLimitOwner::Bucket& RateLimitOwner::bucketOf(Instant now, const TenantId& tenant, const TenantLimits& limits) {
   const double capacity = capacityOf(limits);
   const auto [entry, is_new] =
-      buckets_.try_emplace(tenant, Bucket{0, now, RateMeter(options_.window), ReturnSchedule()});
+      buckets_.try_emplace(tenant, Bucket{0, now, RateMeter(options_.window), RetrySchedule()});
   Bucket& bucket = entry->second;
   if (is_new) {
     const double takeover_seconds = kTakeoverPart * toSeconds(options_.window);
@@ -103,8 +103,8 @@
   return sum;
 }
 
-ReturnCounters RateLimitOwner::returns() const {
-  ReturnCounters sum = forgotten_;
+RetryCounters RateLimitOwner::returns() const {
+  RetryCounters sum = forgotten_;
   for (const auto& [tenant, bucket] : buckets_) add(sum, bucket.schedule.counters());
   return sum;
 }
--- a/src/request/limits/rate_limit_owner.hpp
+++ b/src/request/limits/rate_limit_owner.hpp
@@ -27,14 +27,14 @@
   std::size_t buckets() const { return buckets_.size(); }
   /// Of the tenants that were active lately: promises that are outstanding, and what became of earlier ones.
   std::size_t promised() const;
-  ReturnCounters returns() const;
+  RetryCounters returns() const;
 
  private:
   struct Bucket {
     double level = 0;
     Instant updated_at{};
     RateMeter used;
-    ReturnSchedule schedule;
+    RetrySchedule schedule;
   };
 
   double capacityOf(const TenantLimits& limits) const;
@@ -46,7 +46,7 @@
   Instant settled_at_{};
   std::map<TenantId, Bucket> buckets_;
   /// Of the tenants that were forgotten.
-  ReturnCounters forgotten_;
+  RetryCounters forgotten_;
 };
 
 }  // namespace hatchfork::request
--- a/tests/process/exchange/rate_limit_client_test.cpp
+++ b/tests/process/exchange/rate_limit_client_test.cpp
@@ -79,7 +79,7 @@
   std::function<void(const fleet::CreditQuestionFrame&)> on_question;
   std::vector<fleet::CreditQuestionFrame> questions;
   FakeCaller caller;
-  const request::HoldBudget& holds() const { return holds_; }
+  const request::PendingBudget& holds() const { return holds_; }
   const RateLimitCounters& counters() const { return client_.counters(); }
 
  private:
@@ -90,7 +90,7 @@
   }
 
   connection::asio::io_context context_;
-  request::HoldBudget holds_;
+  request::PendingBudget holds_;
   RateLimitClient client_;
   Tenant tenant_;
 };
--- a/tests/request/admission/batch_trough_test.cpp
+++ b/tests/request/admission/batch_trough_test.cpp
@@ -61,7 +61,7 @@
     for (double second = 0; second < scenario_.length + 20; second += step) {
       const Instant now = at(second);
       if (second >= scenario_.leader_replaced_at) {
-        trough_ = BatchTrough();
+        trough_ = TroughScheduler();
         scenario_.leader_replaced_at = 1e9;
       }
       for (auto& [zone, state] : zones_) std::erase_if(state.online, [now](Instant end) { return end <= now; });
@@ -138,13 +138,13 @@
   }
 
   void preempt(Instant now, Zone& zone) {
-    std::vector<YieldCandidate> candidates;
+    std::vector<PreemptionCandidate> candidates;
     for (const Run& run : zone.runs) {
       Item item = run.item;
       item.events = eventsOf(run, now);
       candidates.push_back({item.events, true, {item.due, expected(item)}});
     }
-    const auto chosen = chooseYield(now, candidates, fromMillis(10), fromMillis(5000));
+    const auto chosen = choosePreemption(now, candidates, fromMillis(10), fromMillis(5000));
     if (!chosen) return;
     Run run = zone.runs[*chosen];
     zone.runs.erase(zone.runs.begin() + static_cast<std::ptrdiff_t>(*chosen));
@@ -209,7 +209,7 @@
   std::mt19937_64 random_;
   std::map<ZoneId, Zone> zones_;
   std::deque<Item> waiting_;
-  BatchTrough trough_;
+  TroughScheduler trough_;
   Outcome outcome_;
 };
 
@@ -274,7 +274,7 @@
 }
 
 TEST_CASE("a run starts where its slot stays free until it ends", "[admission][trough]") {
-  BatchTrough trough;
+  TroughScheduler trough;
   for (double second = 0; second < 20; second += 0.05) {
     // 20 s is 2.6 s into the trough; zone "b" has no load cycle.
     trough.noteLoad(at(second), kService, {{kZoneA, {100, 80 * loadFactorAt(second) / 2}}, {kZoneB, {100, 95}}});
@@ -297,7 +297,7 @@
 }
 
 TEST_CASE("less slack reserves less room for the next peak, down to none", "[admission][trough]") {
-  BatchTrough trough;
+  TroughScheduler trough;
   for (double second = 0; second < 20; second += 0.05) {
     trough.noteLoad(at(second), kService, {{kZoneA, {100, 100 * loadFactorAt(second) / 2}}});
   }
@@ -306,7 +306,7 @@
     const auto pressing = trough.plan(at(20), {}, {{kService, {at(20 + seconds), whole}}}, whole);
     return trough.judge(kService, whole, pressing.front(), std::nullopt).room;
   };
-  REQUIRE(trough.lastingPlaces(kService, whole) < 10);
+  REQUIRE(trough.lastingSlots(kService, whole) < 10);
   const double relaxed = roomIfDueIn(18);
   const double less = roomIfDueIn(8);
   const double none = roomIfDueIn(6);
@@ -317,7 +317,7 @@
   std::vector<WaitingItem> backlog(200, WaitingItem{kService, {at(38), whole}});
   trough.plan(at(20), {}, backlog, whole);
   REQUIRE(trough.urgency(kService) == 1);
-  REQUIRE(trough.isShort(kService));
+  REQUIRE(trough.isRoomShort(kService));
   // An urgent item ahead of the others makes none of them urgent.
   const auto pressing = trough.plan(at(20), {}, {{kService, {at(24), whole}}, {kService, {at(38), whole}}}, whole);
   REQUIRE(pressing[0] == 1);
@@ -325,7 +325,7 @@
 }
 
 TEST_CASE("without a recorded load no run is scheduled", "[admission][trough]") {
-  const BatchTrough trough;
+  const TroughScheduler trough;
   REQUIRE_FALSE(trough.knows(kService));
   REQUIRE(trough.urgency(kService) == 1);
   REQUIRE_FALSE(trough.judge(kService, fromMillis(400), 0, std::nullopt).begins);
--- a/tests/request/admission/byte_budget_test.cpp
+++ b/tests/request/admission/byte_budget_test.cpp
@@ -23,8 +23,8 @@
   return ByteBudget(limits);
 }
 
-HeldId offered(ByteBudget& budget, Instant now, std::size_t bytes) {
-  const HeldId held = budget.hold(bytes);
+BufferId offered(ByteBudget& budget, Instant now, std::size_t bytes) {
+  const BufferId held = budget.hold(bytes);
   budget.offer(now, held);
   return held;
 }
@@ -34,8 +34,8 @@
 TEST_CASE("A peer that accepts nothing counts as slow after the timeout, a peer that reads on does not",
           "[byte_budget]") {
   ByteBudget budget = budgetOf();
-  const HeldId silent = offered(budget, kStart, 100);
-  const HeldId reading = offered(budget, kStart, 100);
+  const BufferId silent = offered(budget, kStart, 100);
+  const BufferId reading = offered(budget, kStart, 100);
   budget.noteTaken(after(9), reading, 1);
   CHECK(budget.slowPeers(after(9.9)).empty());
   const std::vector<SlowPeer> slow = budget.slowPeers(after(10));
@@ -47,7 +47,7 @@
 
 TEST_CASE("A buffer that is not offered makes no peer slow", "[byte_budget]") {
   ByteBudget budget = budgetOf();
-  const HeldId held = budget.hold(2 * kBound);
+  const BufferId held = budget.hold(2 * kBound);
   CHECK(budget.slowPeers(after(100)).empty());
   budget.offer(after(100), held);
   CHECK(budget.slowPeers(after(100.4)).empty());
@@ -58,7 +58,7 @@
           "[byte_budget]") {
   ByteBudget budget = budgetOf();
   offered(budget, kStart, 200);
-  const HeldId greediest = offered(budget, kStart, 300);
+  const BufferId greediest = offered(budget, kStart, 300);
   offered(budget, kStart, 100);
   CHECK(budget.slowPeers(after(1.9)).empty());
   const std::vector<SlowPeer> slow = budget.slowPeers(after(2));
@@ -68,9 +68,9 @@
 
 TEST_CASE("Growing buffers wait at three quarters of the bound, but never all for each other", "[byte_budget]") {
   ByteBudget budget = budgetOf();
-  const HeldId kept = budget.hold(100);
-  const HeldId oldest = budget.beginCollecting();
-  const HeldId next = budget.beginCollecting();
+  const BufferId kept = budget.hold(100);
+  const BufferId oldest = budget.beginCollecting();
+  const BufferId next = budget.beginCollecting();
   budget.add(oldest, 300);
   budget.add(next, 300);
   CHECK(budget.hasRoom());
@@ -87,7 +87,7 @@
 TEST_CASE("No buffer grows beyond the room while peers have much to read", "[byte_budget]") {
   ByteBudget budget = budgetOf();
   offered(budget, kStart, 300);
-  const HeldId oldest = budget.beginCollecting();
+  const BufferId oldest = budget.beginCollecting();
   budget.add(oldest, 500);
   CHECK_FALSE(budget.mayGrow(oldest));
   // Once the slow peer is released, the oldest buffer may grow again.
@@ -102,20 +102,20 @@
   constexpr std::size_t kAnswer = 64 << 10;
   constexpr std::size_t kWindow = 16 << 10;  // a socket accepts this much more once the caller has read it
   ByteBudget budget = budgetOf(40u << 20);
-  std::map<HeldId, std::size_t> slow;
+  std::map<BufferId, std::size_t> slow;
   std::size_t others_served = 0;
   std::size_t let_go = 0;
   for (int tick = 0; tick < 240; ++tick) {  // a minute of quarter seconds
     const Instant now = after(tick * 0.25);
     // Eight slow callers come each quarter of a second while there is room; their sockets accept one window at once.
     for (int i = 0; i < 8 && slow.size() < 500 && budget.hasRoom(); ++i) {
-      const HeldId held = offered(budget, now, kAnswer);
+      const BufferId held = offered(budget, now, kAnswer);
       budget.noteTaken(now, held, kWindow);
       slow[held] = kAnswer - kWindow;
     }
     // Another caller reads its whole answer at once.
     if (budget.hasRoom()) {
-      const HeldId quick = offered(budget, now, kAnswer);
+      const BufferId quick = offered(budget, now, kAnswer);
       budget.noteTaken(now, quick, kAnswer);
       budget.release(quick);
       ++others_served;
@@ -135,14 +135,14 @@
           "[byte_budget][property]") {
   CHECK(testing::holds([] {
     ByteBudget budget = budgetOf();
-    std::map<HeldId, std::size_t> held;
-    std::map<HeldId, Instant> waits;
+    std::map<BufferId, std::size_t> held;
+    std::map<BufferId, Instant> waits;
     Instant now = kStart;
     const auto steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step < steps; ++step) {
       now += fromMillis(*rc::gen::inRange(0, 1500));
       const auto bytes = static_cast<std::size_t>(*rc::gen::inRange(1, 400));
-      const auto offer = [&](HeldId id) {
+      const auto offer = [&](BufferId id) {
         waits[id] = now;
         budget.offer(now, id);
       };
@@ -153,7 +153,7 @@
       };
       switch (*rc::gen::inRange(0, 4)) {
         case 0: {
-          const HeldId id = budget.beginCollecting();
+          const BufferId id = budget.beginCollecting();
           budget.add(id, bytes);
           held[id] = bytes;
           break;
@@ -184,7 +184,7 @@
       RC_ASSERT(budget.bytes() == sum);
       for (const SlowPeer& peer : budget.slowPeers(now)) {
         RC_ASSERT(waits.contains(peer.held));
-        RC_ASSERT(peer.silent_for >= budget.limits().least_patience);
+        RC_ASSERT(peer.silent_for >= budget.limits().min_silence_limit);
       }
     }
   }));
--- a/tests/request/admission/hold_budget_test.cpp
+++ b/tests/request/admission/hold_budget_test.cpp
@@ -8,7 +8,7 @@
 namespace hatchfork::request {
 
 TEST_CASE("A budget refuses a request over its count or its bytes, and reserves nothing then", "[hold_budget]") {
-  HoldBudget budget(2, 100);
+  PendingBudget budget(2, 100);
   CHECK(budget.tryEnter(60));
   CHECK_FALSE(budget.tryEnter(41));
   CHECK(budget.requests() == 1);
@@ -22,19 +22,19 @@
 }
 
 TEST_CASE("A budget accepts a body that fills it, and none that is larger", "[hold_budget]") {
-  HoldBudget budget(2, 100);
+  PendingBudget budget(2, 100);
   CHECK_FALSE(budget.tryEnter(static_cast<std::size_t>(-1)));
   CHECK_FALSE(budget.tryEnter(101));
   CHECK(budget.tryEnter(100));
 }
 
 TEST_CASE("A reservation is released at the end of its scope, and only if it was made", "[hold_budget]") {
-  HoldBudget budget(1, 100);
+  PendingBudget budget(1, 100);
   {
-    const HeldPlace first(budget, 10);
+    const PendingReservation first(budget, 10);
     CHECK(first.entered());
     {
-      const HeldPlace second(budget, 10);
+      const PendingReservation second(budget, 10);
       CHECK_FALSE(second.entered());
     }
     CHECK(budget.requests() == 1);
@@ -48,7 +48,7 @@
   const auto holds = [](const std::vector<std::uint16_t>& steps) {
     constexpr std::size_t kMostRequests = 5;
     constexpr std::size_t kMostBytes = 40'000;
-    HoldBudget budget(kMostRequests, kMostBytes);
+    PendingBudget budget(kMostRequests, kMostBytes);
     std::vector<std::size_t> held;
     for (const std::uint16_t step : steps) {
       if (step % 3 == 0 && !held.empty()) {
--- a/tests/request/admission/hot_tenant_replay.hpp
+++ b/tests/request/admission/hot_tenant_replay.hpp
@@ -60,7 +60,7 @@
   int used_after = 0;
   std::size_t most_in_window = 0;
   int questions = 0;
-  ReturnCounters returns;
+  RetryCounters returns;
 
   int served() const { return in_time + in_time_returned + late; }
   double unusedShare() const { return 1 - static_cast<double>(used_after) / credits_after; }
@@ -145,8 +145,10 @@
       return;
     }
     const int left = caller.deadline() - (now_ - caller.first_ms);
-    Waiter waiter{
-        caller, askOf(fromMillis(caller.objective()), fromMillis(left), fromMillis(left)), now_, false, {}, {}, false};
+    Waiter waiter{caller, creditRequestFor(fromMillis(caller.objective()), fromMillis(left), fromMillis(left)),
+                  now_,   false,
+                  {},     {},
+                  false};
     waiter.ask.content = caller.content;
     waiter.ask.rank = caller.is_urgent || !settings_.ordered ? 0 : 2;
     gateway.waiting.push_back(waiter);
--- a/tests/request/admission/return_schedule_test.cpp
+++ b/tests/request/admission/return_schedule_test.cpp
@@ -23,7 +23,7 @@
 }
 
 /// Records fresh requests at `rate` per second until `until` milliseconds.
-void loadFresh(ReturnSchedule& schedule, double rate, std::int64_t until) {
+void loadFresh(RetrySchedule& schedule, double rate, std::int64_t until) {
   for (std::int64_t time = 0; time < until; time += 10) schedule.noteArrivals(at(time), rate / 100);
 }
 
@@ -50,7 +50,7 @@
 }  // namespace
 
 TEST_CASE("a refused caller finds the credit reserved for it", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   loadFresh(schedule, 1000, 1000);
   const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
   REQUIRE(sent.outcome == CreditOutcome::kReturn);
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE("a reservation is used once", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   loadFresh(schedule, 1000, 1000);
   const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
   const Instant due = at(1000) + sent.after;
@@ -74,17 +74,17 @@
 }
 
 TEST_CASE("the credit of an expired reservation becomes available to others", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   loadFresh(schedule, 1000, 1000);
   const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
-  const Instant later = at(1000) + sent.after + ReturnScheduleLimits{}.kept_for + fromMillis(1);
+  const Instant later = at(1000) + sent.after + RetryScheduleLimits{}.kept_for + fromMillis(1);
   REQUIRE(schedule.kept(later, kRate, kCapacity) == 0);
   REQUIRE(schedule.counters().lapsed == 1);
   REQUIRE(schedule.judge(later, askFor(2), kRate, kCapacity, 1).outcome == CreditOutcome::kGranted);
 }
 
 TEST_CASE("a caller that is early waits for its due time and keeps its reservation", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   loadFresh(schedule, 1000, 1000);
   CreditReply sent;
   for (std::uint64_t content = 1; content < 6; ++content) {
@@ -102,7 +102,7 @@
     "while fresh requests use the whole limit, refused callers get the latest time they can use, and only a floor is "
     "reserved",
     "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   loadFresh(schedule, 1000, 1000);
   int promised = 0;
   int unkept = 0;
@@ -119,7 +119,7 @@
 }
 
 TEST_CASE("a retried request takes nothing from fresh requests, and is refused at once", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   loadFresh(schedule, 1000, 1000);
   for (std::uint64_t content = 1; content <= 20; ++content)
     schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
@@ -130,7 +130,7 @@
 
 TEST_CASE("after the surge retries are served, and retries without a credit wait in order for a late answer",
           "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   loadFresh(schedule, 1000, 1000);
   for (std::uint64_t content = 1; content <= 20; ++content)
     schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
@@ -144,7 +144,7 @@
 }
 
 TEST_CASE("a lowered limit postpones a reservation, and is not exceeded", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   loadFresh(schedule, 1000, 1000);
   const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
   const Instant due = at(1000) + sent.after;
@@ -154,9 +154,9 @@
 }
 
 TEST_CASE("the number of remembered callers is bounded", "[admission][returns]") {
-  ReturnScheduleLimits limits;
+  RetryScheduleLimits limits;
   limits.max_expected = 50;
-  ReturnSchedule schedule(limits);
+  RetrySchedule schedule(limits);
   loadFresh(schedule, 1000, 1000);
   for (std::uint64_t content = 1; content <= 500; ++content)
     schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
@@ -226,26 +226,26 @@
 }
 
 TEST_CASE("no request gets a retry time that it cannot use", "[admission][returns]") {
-  const CreditAsk fresh = askOf(fromMillis(300), fromMillis(5000), fromMillis(5000));
+  const CreditAsk fresh = creditRequestFor(fromMillis(300), fromMillis(5000), fromMillis(5000));
   REQUIRE(fresh.in_time == fromMillis(150));
   REQUIRE(fresh.at_all == fromMillis(2500));
   REQUIRE(fresh.away < fromMillis(1667));
   REQUIRE(fresh.away > fromMillis(1600));
-  const CreditAsk hurried = askOf(fromMillis(300), fromMillis(100), fromMillis(100));
+  const CreditAsk hurried = creditRequestFor(fromMillis(300), fromMillis(100), fromMillis(100));
   REQUIRE(hurried.in_time <= fromMillis(50));
-  const CreditAsk over = askOf(fromMillis(300), fromMillis(-5), fromMillis(-5));
+  const CreditAsk over = creditRequestFor(fromMillis(300), fromMillis(-5), fromMillis(-5));
   REQUIRE(over.away == Duration::zero());
 }
 
 TEST_CASE("equal contents have equal hashes, and each part matters", "[admission][returns]") {
   const RequestContent content{"crew", "POST", "a.example", "/x/1", "body"};
   RequestContent other = content;
-  REQUIRE(contentNumber(content) == contentNumber(other));
+  REQUIRE(contentHash(content) == contentHash(other));
   other.body = "bodz";
-  REQUIRE(contentNumber(content) != contentNumber(other));
+  REQUIRE(contentHash(content) != contentHash(other));
   // The boundaries between parts matter as well.
   other = content;
   other.host = "a.example/";
   other.target = "x/1";
-  REQUIRE(contentNumber(content) != contentNumber(other));
+  REQUIRE(contentHash(content) != contentHash(other));
 }
