--- a/src/process/exchange/gateway_program.hpp
+++ b/src/process/exchange/gateway_program.hpp
@@ -21,7 +21,7 @@
 #include "process/fleet/fleet_settings.hpp"
 #include "process/fleet/load_reporter.hpp"
 #include "process/fleet/metrics_server.hpp"
-#include "request/admission/hold_budget.hpp"
+#include "request/admission/pending_budget.hpp"
 #include "request/exchange/weighted_split.hpp"
 #include "version/dialect.hpp"
 
--- a/src/process/exchange/gateway_program_requests.cpp
+++ b/src/process/exchange/gateway_program_requests.cpp
@@ -6,7 +6,7 @@
 #include "common/log.hpp"
 #include "process/exchange/header_rules.hpp"
 #include "request/access/caller_identity.hpp"
-#include "request/admission/credit_ask.hpp"
+#include "request/admission/credit_request.hpp"
 
 // A request from its receipt until it runs: what it waits for, and what it is refused for.
 namespace hatchfork::exchange {
--- a/src/process/exchange/rate_limit_client.hpp
+++ b/src/process/exchange/rate_limit_client.hpp
@@ -11,7 +11,7 @@
 #include "connection/http_server.hpp"
 #include "process/fleet/fleet_messages.hpp"
 #include "process/metrics/metrics_page.hpp"
-#include "request/admission/hold_budget.hpp"
+#include "request/admission/pending_budget.hpp"
 #include "request/limits/rate_limit_account.hpp"
 #include "version/configuration_objects.hpp"
 
--- a/src/process/exchange/start_gate.hpp
+++ b/src/process/exchange/start_gate.hpp
@@ -9,8 +9,8 @@
 #include "connection/asio.hpp"
 #include "connection/http_server.hpp"
 #include "process/metrics/metrics_page.hpp"
-#include "request/admission/hold_budget.hpp"
-#include "request/admission/start_hold.hpp"
+#include "request/admission/pending_budget.hpp"
+#include "request/admission/startup_admission.hpp"
 
 namespace hatchfork::exchange {
 
--- a/src/process/store/placement_service.hpp
+++ b/src/process/store/placement_service.hpp
@@ -12,7 +12,7 @@
 #include "process/fleet/placement_messages.hpp"
 #include "process/metrics/metrics_page.hpp"
 #include "request/admission/load_features.hpp"
-#include "request/admission/zone_line.hpp"
+#include "request/admission/zone_queue.hpp"
 #include "request/exchange/engine_selector.hpp"
 #include "request/exchange/load_board.hpp"
 #include "version/engine_record.hpp"
--- a/src/request/admission/credit_ask.cpp
+++ b/src/request/admission/credit_request.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/credit_ask.hpp"
+#include "request/admission/credit_request.hpp"
 
 #include <xxhash.h>
 
--- a/src/request/admission/hold_budget.cpp
+++ b/src/request/admission/pending_budget.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/hold_budget.hpp"
+#include "request/admission/pending_budget.hpp"
 
 #include <algorithm>
 
--- a/src/request/admission/yield_choice.cpp
+++ b/src/request/admission/preemption_choice.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/yield_choice.hpp"
+#include "request/admission/preemption_choice.hpp"
 
 namespace hatchfork::request {
 namespace {
--- a/src/request/admission/return_schedule.cpp
+++ b/src/request/admission/retry_schedule.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/return_schedule.hpp"
+#include "request/admission/retry_schedule.hpp"
 
 #include <algorithm>
 
--- a/src/request/admission/start_hold.cpp
+++ b/src/request/admission/startup_admission.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/start_hold.hpp"
+#include "request/admission/startup_admission.hpp"
 
 #include <algorithm>
 
--- a/src/request/admission/batch_trough.cpp
+++ b/src/request/admission/trough_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/batch_trough.hpp"
+#include "request/admission/trough_scheduler.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/request/admission/batch_trough.hpp
+++ b/src/request/admission/trough_scheduler.hpp
@@ -9,7 +9,7 @@
 
 #include "common/ids.hpp"
 #include "common/time.hpp"
-#include "request/admission/load_wave.hpp"
+#include "request/admission/load_forecaster.hpp"
 #include "request/admission/zone_load.hpp"
 #include "request/batch/due_order.hpp"
 
--- a/src/request/admission/zone_line.cpp
+++ b/src/request/admission/zone_queue.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/zone_line.hpp"
+#include "request/admission/zone_queue.hpp"
 
 #include <algorithm>
 #include <iterator>
--- a/src/request/exchange/engine_state.hpp
+++ b/src/request/exchange/engine_state.hpp
@@ -6,7 +6,7 @@
 #include <unordered_map>
 
 #include "common/time.hpp"
-#include "request/admission/engine_pace.hpp"
+#include "request/admission/engine_speed.hpp"
 #include "version/engine_record.hpp"
 
 namespace hatchfork::request {
--- a/src/request/limits/rate_limit_owner.hpp
+++ b/src/request/limits/rate_limit_owner.hpp
@@ -4,7 +4,7 @@
 
 #include "common/ids.hpp"
 #include "common/time.hpp"
-#include "request/admission/return_schedule.hpp"
+#include "request/admission/retry_schedule.hpp"
 #include "request/limits/rate_credit.hpp"
 #include "request/limits/rate_meter.hpp"
 #include "version/configuration_objects.hpp"
--- a/tests/request/admission/engine_pace_test.cpp
+++ b/tests/request/admission/engine_speed_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/engine_pace.hpp"
+#include "request/admission/engine_speed.hpp"
 
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
--- a/tests/request/admission/hot_tenant_replay.hpp
+++ b/tests/request/admission/hot_tenant_replay.hpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <vector>
 
-#include "request/admission/credit_ask.hpp"
+#include "request/admission/credit_request.hpp"
 #include "request/limits/rate_limit_account.hpp"
 #include "request/limits/rate_limit_owner.hpp"
 
--- a/tests/request/admission/load_wave_test.cpp
+++ b/tests/request/admission/load_forecaster_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/load_wave.hpp"
+#include "request/admission/load_forecaster.hpp"
 
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
--- a/tests/request/admission/yield_choice_test.cpp
+++ b/tests/request/admission/preemption_choice_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/yield_choice.hpp"
+#include "request/admission/preemption_choice.hpp"
 
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
--- a/tests/request/admission/return_schedule_test.cpp
+++ b/tests/request/admission/retry_schedule_test.cpp
@@ -1,9 +1,9 @@
-#include "request/admission/return_schedule.hpp"
+#include "request/admission/retry_schedule.hpp"
 
 #include <catch2/catch.hpp>
 
 #include "process/fleet/limit_messages.hpp"
-#include "request/admission/credit_ask.hpp"
+#include "request/admission/credit_request.hpp"
 #include "request/limits/rate_limit_owner.hpp"
 
 using namespace hatchfork;
--- a/tests/request/admission/start_hold_test.cpp
+++ b/tests/request/admission/startup_admission_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/start_hold.hpp"
+#include "request/admission/startup_admission.hpp"
 
 #include <rapidcheck.h>
 
@@ -9,7 +9,7 @@
 #include <random>
 #include <vector>
 
-#include "request/admission/hold_budget.hpp"
+#include "request/admission/pending_budget.hpp"
 
 namespace hatchfork::request {
 namespace {
--- a/tests/request/admission/batch_trough_test.cpp
+++ b/tests/request/admission/trough_scheduler_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/batch_trough.hpp"
+#include "request/admission/trough_scheduler.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -7,7 +7,7 @@
 #include <deque>
 #include <random>
 
-#include "request/admission/yield_choice.hpp"
+#include "request/admission/preemption_choice.hpp"
 
 using namespace hatchfork;
 using namespace hatchfork::request;
