--- a/src/request/admission/byte_budget.cpp
+++ b/src/request/admission/byte_budget.cpp
@@ -18,36 +18,36 @@
 }  // namespace
 
 BufferId ByteBudget::hold(std::size_t bytes) {
-  const BufferId held = ++last_id_;
-  buffers_.emplace(held, Buffer{bytes, std::nullopt});
+  const BufferId id = ++last_id_;
+  buffers_.emplace(id, Buffer{bytes, std::nullopt});
   bytes_ += bytes;
-  return held;
+  return id;
 }
 
 BufferId ByteBudget::beginCollecting() {
-  const BufferId held = hold(0);
-  growing_.insert(held);
-  return held;
+  const BufferId id = hold(0);
+  growing_.insert(id);
+  return id;
 }
 
-void ByteBudget::add(BufferId held, std::size_t bytes) {
-  const auto found = buffers_.find(held);
+void ByteBudget::add(BufferId id, std::size_t bytes) {
+  const auto found = buffers_.find(id);
   if (found == buffers_.end()) return;
   found->second.bytes += bytes;
   bytes_ += bytes;
   if (found->second.silent_since) offered_bytes_ += bytes;
 }
 
-void ByteBudget::offer(Instant now, BufferId held) {
-  const auto found = buffers_.find(held);
+void ByteBudget::offer(Instant now, BufferId id) {
+  const auto found = buffers_.find(id);
   if (found == buffers_.end()) return;
   if (!found->second.silent_since) offered_bytes_ += found->second.bytes;
   found->second.silent_since = now;
-  growing_.erase(held);
+  growing_.erase(id);
 }
 
-void ByteBudget::noteTaken(Instant now, BufferId held, std::size_t bytes) {
-  const auto found = buffers_.find(held);
+void ByteBudget::noteTaken(Instant now, BufferId id, std::size_t bytes) {
+  const auto found = buffers_.find(id);
   if (found == buffers_.end() || bytes == 0 || !found->second.silent_since) return;
   const std::size_t taken = std::min(bytes, found->second.bytes);
   found->second.bytes -= taken;
@@ -56,12 +56,12 @@
   offered_bytes_ -= taken;
 }
 
-void ByteBudget::release(BufferId held) {
-  const auto found = buffers_.find(held);
+void ByteBudget::release(BufferId id) {
+  const auto found = buffers_.find(id);
   if (found == buffers_.end()) return;
   bytes_ -= found->second.bytes;
   if (found->second.silent_since) offered_bytes_ -= found->second.bytes;
-  growing_.erase(held);
+  growing_.erase(id);
   buffers_.erase(found);
 }
 
@@ -69,16 +69,16 @@
   return bytes_ < partOf(limits_.most_bytes, kFullShare);
 }
 
-bool ByteBudget::mayGrow(BufferId held) const {
+bool ByteBudget::mayGrow(BufferId id) const {
   if (hasRoom()) return true;
-  const bool is_oldest = !growing_.empty() && *growing_.begin() == held;
+  const bool is_oldest = !growing_.empty() && *growing_.begin() == id;
   return is_oldest && offered_bytes_ < partOf(limits_.most_bytes, kOfferedShare);
 }
 
 std::vector<SlowPeer> ByteBudget::slowPeers(Instant now) const {
   std::vector<SlowPeer> waiting;
-  for (const auto& [held, entry] : buffers_) {
-    if (entry.silent_since && entry.bytes > 0) waiting.push_back({held, entry.bytes, now - *entry.silent_since});
+  for (const auto& [id, entry] : buffers_) {
+    if (entry.silent_since && entry.bytes > 0) waiting.push_back({id, entry.bytes, now - *entry.silent_since});
   }
   std::stable_sort(waiting.begin(), waiting.end(),
                    [](const SlowPeer& left, const SlowPeer& right) { return left.bytes > right.bytes; });
--- a/src/request/admission/byte_budget.hpp
+++ b/src/request/admission/byte_budget.hpp
@@ -46,18 +46,18 @@
   BufferId hold(std::size_t bytes);
   /// Starts an empty buffer that grows by `add` until `offer`.
   BufferId beginCollecting();
-  void add(BufferId held, std::size_t bytes);
+  void add(BufferId id, std::size_t bytes);
   /// Marks the buffer as offered: from now on the peer is expected to read.
-  void offer(Instant now, BufferId held);
+  void offer(Instant now, BufferId id);
   /// Records that the peer accepted `bytes`.
-  void noteTaken(Instant now, BufferId held, std::size_t bytes);
-  void release(BufferId held);
+  void noteTaken(Instant now, BufferId id, std::size_t bytes);
+  void release(BufferId id);
 
   /// False if new work that needs large buffers should wait: from three quarters of the bound on.
   bool hasRoom() const;
   /// True if the buffer may grow: there is room, or the buffer is the oldest that is still growing and little is
   /// offered to peers. The exception keeps growing buffers from all waiting for each other.
-  bool mayGrow(BufferId held) const;
+  bool mayGrow(BufferId id) const;
   /// Returns the peers to disconnect now, the largest buffer first. Their bytes count until they are released.
   std::vector<SlowPeer> slowPeers(Instant now) const;
 
--- a/src/request/admission/engine_speed.hpp
+++ b/src/request/admission/engine_speed.hpp
@@ -96,9 +96,8 @@
     return reported_at_ == Instant::min() ? -1 : toMillis(now - reported_at_);
   }
   /// Slots of the engine in units of slots of the mean engine.
-  double effectiveSlots(Instant now, double places, const ServiceSpeed& service,
-                        const EngineSpeedLimits& limits) const {
-    return places / slowness(now, service, limits);
+  double effectiveSlots(Instant now, double slots, const ServiceSpeed& service, const EngineSpeedLimits& limits) const {
+    return slots / slowness(now, service, limits);
   }
 
  private:
--- a/src/request/admission/retry_schedule.cpp
+++ b/src/request/admission/retry_schedule.cpp
@@ -26,13 +26,13 @@
   const auto [first, last] = by_content_.equal_range(entry->second);
   const auto known = std::find_if(first, last, [&](const auto& item) { return item.second.key == entry->first; });
   if (known != last) by_content_.erase(known);
-  (is_reserved ? promised_ : expected_).erase(entry);
+  (is_reserved ? reserved_ : expected_).erase(entry);
 }
 
 void RetrySchedule::expire(Instant now) {
-  while (!promised_.empty() && now > promised_.begin()->first.first + limits_.kept_for) {
+  while (!reserved_.empty() && now > reserved_.begin()->first.first + limits_.kept_for) {
     ++counters_.lapsed;
-    removeEntry(promised_.begin(), true);
+    removeEntry(reserved_.begin(), true);
   }
   while (!expected_.empty() && now > expected_.begin()->first.first + limits_.kept_for)
     removeEntry(expected_.begin(), false);
@@ -42,18 +42,18 @@
   expire(now);
   const Instant soon = now + timeToGain(kSequences, rate);
   std::size_t due = 0;
-  for (auto entry = promised_.begin(); entry != promised_.end() && entry->first.first <= soon; ++entry) ++due;
+  for (auto entry = reserved_.begin(); entry != reserved_.end() && entry->first.first <= soon; ++entry) ++due;
   // Reservations beyond the capacity of the bucket cannot be kept: the oldest are dropped.
-  while (static_cast<double>(due) > std::max(1.0, capacity) && !promised_.empty()) {
+  while (static_cast<double>(due) > std::max(1.0, capacity) && !reserved_.empty()) {
     ++counters_.lapsed;
-    removeEntry(promised_.begin(), true);
+    removeEntry(reserved_.begin(), true);
     --due;
   }
   return due;
 }
 
 void RetrySchedule::addEntry(Instant due, std::uint64_t content, bool is_reserved) {
-  Timeline& timeline = is_reserved ? promised_ : expected_;
+  Timeline& timeline = is_reserved ? reserved_ : expected_;
   const Key key{due, ++last_number_};
   timeline.emplace(key, content);
   by_content_.emplace(content, Entry{key, is_reserved});
@@ -67,7 +67,7 @@
   const auto earliest =
       std::min_element(first, last, [](const auto& a, const auto& b) { return a.second.key < b.second.key; });
   const Entry found = earliest->second;
-  (found.is_reserved ? promised_ : expected_).erase(found.key);
+  (found.is_reserved ? reserved_ : expected_).erase(found.key);
   by_content_.erase(earliest);
   return found;
 }
--- a/src/request/admission/retry_schedule.hpp
+++ b/src/request/admission/retry_schedule.hpp
@@ -38,9 +38,10 @@
 };
 
 struct RetryCounters {
+  /// Reservations made.
   std::uint64_t promised = 0;
-  /// Reservations used by the request they were made for, and reservations that expired because the request did not
-  /// come.
+  /// Of these, reservations used by the request they were made for, and reservations that expired because the request
+  /// did not come.
   std::uint64_t used = 0;
   std::uint64_t lapsed = 0;
   /// Callers refused without a reservation, and those of them that were refused again.
@@ -70,7 +71,7 @@
   void assumeFullUntil(Instant until) { full_until_ = until; }
 
   const RetryCounters& counters() const { return counters_; }
-  std::size_t promised() const { return promised_.size(); }
+  std::size_t promised() const { return reserved_.size(); }
   std::size_t expected() const { return expected_.size(); }
 
  private:
@@ -99,7 +100,8 @@
   RateMeter fresh_;
   UrgencyOrder order_;
   Instant full_until_{};
-  Timeline promised_;
+  /// Callers with a reservation, and refused callers without one, by due time.
+  Timeline reserved_;
   Timeline expected_;
   std::unordered_multimap<std::uint64_t, Entry> by_content_;
   std::uint64_t last_number_ = 0;
--- a/src/request/admission/trough_scheduler.cpp
+++ b/src/request/admission/trough_scheduler.cpp
@@ -17,7 +17,7 @@
   for (const auto& [id, load] : zones) {
     Zone& zone = state.zones[id];
     zone.slots = load.slots;
-    zone.wave.note(now, load.online);
+    zone.forecaster.note(now, load.online);
   }
 }
 
@@ -69,7 +69,7 @@
 double TroughScheduler::freeSlotsIn(const Service& service, std::size_t span) {
   double free_slots = 0;
   for (const auto& [id, zone] : service.zones)
-    free_slots += std::max(0.0, zone.slots - zone.wave.forecast().most[span]);
+    free_slots += std::max(0.0, zone.slots - zone.forecaster.forecast().most[span]);
   return free_slots;
 }
 
@@ -135,7 +135,7 @@
   if (service == services_.end()) return 0;
   double lasting_slots = 0;
   for (const auto& [zone_id, zone] : service->second.zones) {
-    lasting_slots += std::max(0.0, zone.slots - zone.wave.forecast().mostWithin(time_left));
+    lasting_slots += std::max(0.0, zone.slots - zone.forecaster.forecast().mostWithin(time_left));
   }
   return lasting_slots;
 }
@@ -153,16 +153,17 @@
 TroughVerdict TroughScheduler::judgeZone(const ZoneId& id, const Zone& zone, Duration time_left, double urgency) const {
   TroughVerdict verdict;
   verdict.zone = id;
-  verdict.online_now = zone.wave.level();
-  verdict.online_expected = zone.wave.forecast().mostWithin(time_left);
-  verdict.period = zone.wave.period();
+  verdict.online_now = zone.forecaster.level();
+  verdict.online_expected = zone.forecaster.forecast().mostWithin(time_left);
+  verdict.period = zone.forecaster.period();
   verdict.room = zone.slots;
   const std::size_t spans = LoadForecast::spansWithin(time_left);
   for (std::size_t span = 0; span < spans; ++span) {
-    const double rise = std::max(0.0, zone.wave.forecast().most[span] - zone.wave.level());
+    const double rise = std::max(0.0, zone.forecaster.forecast().most[span] - zone.forecaster.level());
     const bool is_soon = LoadForecast::beginOf(span) < limits_.min_run_time;
     const double reserved_share = 1 - (is_soon ? std::max(0.0, 2 * urgency - 1) : urgency);
-    const double online = zone.wave.level() + reserved_share * (rise + peakMargin(zone.wave.level() + rise));
+    const double online =
+        zone.forecaster.level() + reserved_share * (rise + peakMargin(zone.forecaster.level() + rise));
     verdict.room = std::min(verdict.room, zone.slots - online - zone.runs[span]);
   }
   verdict.begins = verdict.room >= 1;
--- a/src/request/admission/trough_scheduler.hpp
+++ b/src/request/admission/trough_scheduler.hpp
@@ -55,9 +55,9 @@
 /// Decides where batch runs may start so that a rise of online load does not preempt them. Online load often comes in
 /// cycles; a trough is the part of a cycle with little online load. A run that fills a trough and is preempted by the
 /// next peak has to be repeated. A run starts where its slot is expected to stay free of online requests until the run
-/// ends. The less slack the queued items have at the speed that this rule allows, the less room is reserved for the
-/// next peak, down to none: then a run starts wherever a slot is free now. State is soft: a new instance has seen no
-/// load cycle and reserves nothing. No I/O, no clock. Not thread-safe.
+/// ends (lasting room). The less slack the queued items have at the speed that this rule allows, the less room is
+/// reserved for the next peak, down to none: then a run starts wherever a slot is free now. State is soft: a new
+/// instance has seen no load cycle and reserves nothing. No I/O, no clock. Not thread-safe.
 class TroughScheduler {
  public:
   explicit TroughScheduler(TroughSchedulerLimits limits = {}) : limits_(limits) {}
@@ -87,7 +87,7 @@
  private:
   struct Zone {
     double slots = 0;
-    LoadForecaster wave;
+    LoadForecaster forecaster;
     /// Runs expected to be in flight at the start of each span.
     std::array<double, LoadForecast::kSpans> runs{};
   };
--- a/src/request/admission/zone_queue.cpp
+++ b/src/request/admission/zone_queue.cpp
@@ -5,12 +5,12 @@
 
 namespace hatchfork::request {
 
-bool ZoneQueue::enter(Instant now, QueueEntryId number, const QueuedRequest& standing) {
+bool ZoneQueue::enter(Instant now, QueueEntryId number, const QueuedRequest& request) {
   if (queued_.size() >= limits_.max_queued || queued_.contains(number)) return false;
-  const SortKey key(standing.has_returned, standing.share, standing.latest_start, ++last_sequence_);
-  queued_.emplace(number, Queued{standing, key, now});
-  classes_[standing.priority].emplace(key, number);
-  by_latest_start_.emplace(standing.latest_start, number);
+  const SortKey key(request.has_returned, request.share, request.latest_start, ++last_sequence_);
+  queued_.emplace(number, Queued{request, key, now});
+  classes_[request.priority].emplace(key, number);
+  by_latest_start_.emplace(request.latest_start, number);
   return true;
 }
 
@@ -18,10 +18,10 @@
   const auto found = queued_.find(number);
   if (found == queued_.end()) return false;
   const Queued& member = found->second;
-  const auto class_entry = classes_.find(member.standing.priority);
+  const auto class_entry = classes_.find(member.request.priority);
   class_entry->second.erase(member.key);
   if (class_entry->second.empty()) classes_.erase(class_entry);
-  by_latest_start_.erase({member.standing.latest_start, number});
+  by_latest_start_.erase({member.request.latest_start, number});
   queued_.erase(found);
   return true;
 }
@@ -29,7 +29,7 @@
 void ZoneQueue::noteServed(QueueEntryId number) {
   const auto found = queued_.find(number);
   if (found == queued_.end()) return;
-  const bool is_urgent = found->second.standing.priority == classes_.begin()->first;
+  const bool is_urgent = found->second.request.priority == classes_.begin()->first;
   const bool less_urgent_wait = classes_.size() > 1;
   given_to_urgent_ = is_urgent && less_urgent_wait ? given_to_urgent_ + 1 : 0;
   leave(number);
@@ -58,17 +58,17 @@
   return numbers;
 }
 
-std::size_t ZoneQueue::ahead(const QueuedRequest& standing) const {
+std::size_t ZoneQueue::ahead(const QueuedRequest& request) const {
   std::size_t count = 0;
   for (const auto& [priority, members] : classes_) {
-    if (priority > standing.priority) break;
+    if (priority > request.priority) break;
     // Most requests of the class are ahead of a new request, so distances are counted from the end; the count is exact
     // in any case.
-    if (priority < standing.priority) {
+    if (priority < request.priority) {
       count += members.size();
       continue;
     }
-    const SortKey key(standing.has_returned, standing.share, standing.latest_start, last_sequence_ + 1);
+    const SortKey key(request.has_returned, request.share, request.latest_start, last_sequence_ + 1);
     const auto behind = members.lower_bound(key);
     count += members.size() - static_cast<std::size_t>(std::distance(behind, members.end()));
   }
@@ -80,7 +80,7 @@
   if (found == queued_.end()) return 0;
   std::size_t count = 0;
   for (const auto& [priority, members] : classes_) {
-    if (priority == found->second.standing.priority) {
+    if (priority == found->second.request.priority) {
       return count + static_cast<std::size_t>(std::distance(members.begin(), members.find(found->second.key)));
     }
     count += members.size();
--- a/src/request/admission/zone_queue.hpp
+++ b/src/request/admission/zone_queue.hpp
@@ -48,7 +48,7 @@
   explicit ZoneQueue(ZoneQueueLimits limits = {}) : limits_(limits) {}
 
   /// Adds a request. Returns false if the queue is full or already contains the number.
-  bool enter(Instant now, QueueEntryId number, const QueuedRequest& standing);
+  bool enter(Instant now, QueueEntryId number, const QueuedRequest& request);
   /// Removes a request for any reason. Returns false if the request is not queued.
   bool leave(QueueEntryId number);
   /// Removes a request that got a slot, and counts the slot for the floor of less urgent classes.
@@ -58,13 +58,13 @@
   /// Returns the requests whose latest start has passed; they stay queued until they leave.
   std::vector<QueueEntryId> late(Instant now) const;
   /// Returns the number of requests that would be served before a request with these properties added now.
-  std::size_t ahead(const QueuedRequest& standing) const;
+  std::size_t ahead(const QueuedRequest& request) const;
   std::size_t aheadOf(QueueEntryId number) const;
 
   std::size_t size() const { return queued_.size(); }
   bool isEmpty() const { return queued_.empty(); }
   bool has(QueueEntryId number) const { return queued_.contains(number); }
-  const QueuedRequest& at(QueueEntryId number) const { return queued_.at(number).standing; }
+  const QueuedRequest& at(QueueEntryId number) const { return queued_.at(number).request; }
   Duration waited(Instant now, QueueEntryId number) const { return now - queued_.at(number).enqueued_at; }
 
  private:
@@ -72,7 +72,7 @@
   using SortKey = std::tuple<bool, double, Instant, std::uint64_t>;
   using Class = std::map<SortKey, QueueEntryId>;
   struct Queued {
-    QueuedRequest standing;
+    QueuedRequest request;
     SortKey key;
     Instant enqueued_at{};
   };
--- a/tests/request/admission/engine_speed_test.cpp
+++ b/tests/request/admission/engine_speed_test.cpp
@@ -54,9 +54,9 @@
   EngineSelector selector(seed, limits);
   selector.takeEngines(time.now(), wholeListOf(engines.records(kService, kZone)));
   for (double at = 0; at < kEndMs; at += 50) time.at(at, [&] { selector.noteOthers(time.now(), {}); });
-  const replay::Load wave{{0, 100}, {3400, 255}, {5800, 100}, {9200, 255 * jump}, {11600, 100}};
+  const replay::Load load{{0, 100}, {3400, 255}, {5800, 100}, {9200, 255 * jump}, {11600, 100}};
   Outcome outcome;
-  for (const double at : replay::arrivals(wave, kEndMs, seed)) {
+  for (const double at : replay::arrivals(load, kEndMs, seed)) {
     time.at(at, [&, at] {
       const auto choice = selector.choose(time.now(), query());
       const TicketId ticket = selector.begin(time.now(), choice->engine.id, query());
--- a/tests/request/admission/load_forecaster_test.cpp
+++ b/tests/request/admission/load_forecaster_test.cpp
@@ -20,8 +20,8 @@
 
 /// Records a load between `from` and `to`; `load(second)` is the count in flight.
 template <class Load>
-void play(LoadForecaster& wave, double from, double to, const Load& load) {
-  for (double second = from; second < to; second += toSeconds(kStep)) wave.note(at(second), load(second));
+void play(LoadForecaster& forecaster, double from, double to, const Load& load) {
+  for (double second = from; second < to; second += toSeconds(kStep)) forecaster.note(at(second), load(second));
 }
 
 /// Low for 3.4 s, high for 2.4 s.
@@ -32,74 +32,74 @@
 }  // namespace
 
 TEST_CASE("a cycle of steps is detected, and its next rise is forecast at the right time", "[admission][wave]") {
-  LoadForecaster wave;
-  play(wave, 0, 20, steps);
-  REQUIRE(wave.period().has_value());
-  REQUIRE(std::abs(toMillis(*wave.period()) - 5800) <= 100);
+  LoadForecaster forecaster;
+  play(forecaster, 0, 20, steps);
+  REQUIRE(forecaster.period().has_value());
+  REQUIRE(std::abs(toMillis(*forecaster.period()) - 5800) <= 100);
   // 20 s is 2.6 s into the trough: the rise follows in 0.8 s.
-  REQUIRE(wave.level() == 60);
-  REQUIRE(wave.forecast().mostWithin(fromMillis(250)) == 60);
-  REQUIRE(wave.forecast().mostWithin(fromMillis(500)) == 60);
-  REQUIRE(wave.forecast().mostWithin(fromMillis(1500)) == 300);
+  REQUIRE(forecaster.level() == 60);
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(250)) == 60);
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(500)) == 60);
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(1500)) == 300);
   // At the start of the trough no rise follows for three seconds.
-  play(wave, 20, 23.6, steps);
-  REQUIRE(wave.level() == 60);
-  REQUIRE(wave.forecast().mostWithin(fromMillis(2000)) == 60);
-  REQUIRE(wave.forecast().mostWithin(fromMillis(5000)) == 300);
+  play(forecaster, 20, 23.6, steps);
+  REQUIRE(forecaster.level() == 60);
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(2000)) == 60);
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(5000)) == 300);
 }
 
 TEST_CASE("noise has no period, and may rise again as far as it recently did", "[admission][wave]") {
   std::mt19937_64 random(11);
   std::poisson_distribution<int> counts(200);
-  LoadForecaster wave;
-  play(wave, 0, 30, [&](double) { return counts(random); });
-  REQUIRE_FALSE(wave.period().has_value());
-  REQUIRE(wave.forecast().mostWithin(fromMillis(3000)) > 200);
-  REQUIRE(wave.forecast().mostWithin(fromMillis(3000)) <= wave.peak());
+  LoadForecaster forecaster;
+  play(forecaster, 0, 30, [&](double) { return counts(random); });
+  REQUIRE_FALSE(forecaster.period().has_value());
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(3000)) > 200);
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(3000)) <= forecaster.peak());
 }
 
 TEST_CASE("no fast rise is forecast for a load that never rises fast", "[admission][wave]") {
-  LoadForecaster wave;
-  play(wave, 0, 20, [](double second) { return 100 + 5 * second; });
-  REQUIRE_FALSE(wave.period().has_value());
-  REQUIRE(wave.forecast().mostWithin(fromMillis(1000)) <= wave.level() + 6);
+  LoadForecaster forecaster;
+  play(forecaster, 0, 20, [](double second) { return 100 + 5 * second; });
+  REQUIRE_FALSE(forecaster.period().has_value());
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(1000)) <= forecaster.level() + 6);
 }
 
 TEST_CASE("a surge above the predicted count suspends the period for a while", "[admission][wave]") {
-  LoadForecaster wave;
-  play(wave, 0, 23.6, steps);
-  REQUIRE(wave.forecast().mostWithin(fromMillis(2000)) == 60);
-  play(wave, 23.6, 23.8, [](double) { return 400; });
-  REQUIRE_FALSE(wave.period().has_value());
-  REQUIRE(wave.forecast().mostWithin(fromMillis(250)) == 400);
+  LoadForecaster forecaster;
+  play(forecaster, 0, 23.6, steps);
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(2000)) == 60);
+  play(forecaster, 23.6, 23.8, [](double) { return 400; });
+  REQUIRE_FALSE(forecaster.period().has_value());
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(250)) == 400);
 }
 
 TEST_CASE("a cycle is no longer detected once it is over", "[admission][wave]") {
-  LoadForecaster wave;
-  play(wave, 0, 20, steps);
-  play(wave, 20, 60, [](double) { return 60; });
-  REQUIRE_FALSE(wave.period().has_value());
-  REQUIRE(wave.forecast().mostWithin(fromMillis(8000)) == 60);
+  LoadForecaster forecaster;
+  play(forecaster, 0, 20, steps);
+  play(forecaster, 20, 60, [](double) { return 60; });
+  REQUIRE_FALSE(forecaster.period().has_value());
+  REQUIRE(forecaster.forecast().mostWithin(fromMillis(8000)) == 60);
 }
 
 TEST_CASE("without any count the forecast is zero", "[admission][wave]") {
-  const LoadForecaster wave;
-  REQUIRE(wave.level() == 0);
-  REQUIRE(wave.peak() == 0);
-  REQUIRE_FALSE(wave.period().has_value());
-  REQUIRE(wave.forecast().mostWithin(std::chrono::seconds(20)) == 0);
+  const LoadForecaster forecaster;
+  REQUIRE(forecaster.level() == 0);
+  REQUIRE(forecaster.peak() == 0);
+  REQUIRE_FALSE(forecaster.period().has_value());
+  REQUIRE(forecaster.forecast().mostWithin(std::chrono::seconds(20)) == 0);
 }
 
 TEST_CASE("a forecast is never below the current count, nor above the highest recorded count", "[admission][wave]") {
   const bool holds = rc::check("bounds of a forecast", [] {
     const auto counts = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 500));
-    LoadForecaster wave;
+    LoadForecaster forecaster;
     double second = 0;
     for (const int count : counts) {
       second += 0.01 * *rc::gen::inRange(1, 30);
-      wave.note(at(second), count);
-      for (const double most : wave.forecast().most) RC_ASSERT(most <= wave.peak());
-      RC_ASSERT(wave.forecast().mostWithin(Duration::zero()) >= wave.level());
+      forecaster.note(at(second), count);
+      for (const double most : forecaster.forecast().most) RC_ASSERT(most <= forecaster.peak());
+      RC_ASSERT(forecaster.forecast().mostWithin(Duration::zero()) >= forecaster.level());
     }
   });
   REQUIRE(holds);
--- a/tests/request/admission/startup_admission_test.cpp
+++ b/tests/request/admission/startup_admission_test.cpp
@@ -35,7 +35,7 @@
   const Instant started_at{std::chrono::seconds(10)};
   std::mt19937_64 random(seed);
   std::exponential_distribution<double> gap(kArrivalsPerSecond);
-  StartupAdmission hold(started_at, seed);
+  StartupAdmission admission(started_at, seed);
   const Instant in_force = configured_after ? started_at + *configured_after : Instant::max();
   std::vector<Replayed> requests;
   std::vector<Instant> end_times;
@@ -48,7 +48,7 @@
       budget.leave(1000);
       return true;
     });
-    const StartupDecision decision = hold.decide(now, EarlyArrival{now, kCallerDeadline});
+    const StartupDecision decision = admission.decide(now, EarlyArrival{now, kCallerDeadline});
     Replayed request{now, false, now, decision.come_back_after};
     if (decision.until && budget.tryEnter(1000)) {
       request.ended_at = std::min(*decision.until, in_force);
@@ -108,9 +108,9 @@
   REQUIRE(replay.requests > 4000);
   CHECK(replay.served == 0);
   CHECK(replay.longest_wait <= fromMillis(400));
-  StartupAdmission hold(Instant{}, 1);
+  StartupAdmission admission(Instant{}, 1);
   const Instant late{fromMillis(700)};
-  CHECK_FALSE(hold.decide(late, EarlyArrival{late, std::nullopt}).until);
+  CHECK_FALSE(admission.decide(late, EarlyArrival{late, std::nullopt}).until);
   // No interval of 100 ms gets more than a tenth of the retries.
   std::map<std::int64_t, std::size_t> retries_by_interval;
   for (const Instant at : replay.retries) ++retries_by_interval[toMillis(at.time_since_epoch()) / 100];
@@ -122,8 +122,8 @@
   const auto holds = [](std::uint16_t after_start, std::uint16_t remaining) {
     const Instant started_at{std::chrono::seconds(10)};
     const Instant now = started_at + fromMillis(after_start % 2000);
-    StartupAdmission hold(started_at, after_start + 1);
-    const StartupDecision decision = hold.decide(now, EarlyArrival{now, fromMillis(remaining)});
+    StartupAdmission admission(started_at, after_start + 1);
+    const StartupDecision decision = admission.decide(now, EarlyArrival{now, fromMillis(remaining)});
     if (decision.until) {
       RC_ASSERT(*decision.until > now);
       RC_ASSERT(*decision.until - now <= fromMillis(remaining) / 2);
