--- a/src/request/exchange/arrival_gate.hpp
+++ b/src/request/exchange/arrival_gate.hpp
@@ -7,27 +7,31 @@
 namespace hatchfork::request {
 
 struct ArrivalGateLimits {
-  /// What passes between gateway, engine and caller beside the wait that is expected at the engine, at the most.
-  Duration path_time = fromMillis(60);
-  /// A request is taken though it will be late by less than this share of its objective: loads are known late.
-  double doubt = 0.2;
-  /// Bounds of the time in which a refused caller is to come back.
-  Duration shortest_return = fromMillis(300);
-  Duration longest_return = fromMillis(1500);
+  /// Upper bound of the time spent between gateway, engine and caller besides the expected wait at the engine.
+  Duration path_overhead = fromMillis(60);
+  /// A request is admitted even if it is expected to miss its objective by less than this share, since reported loads
+  /// lag behind.
+  double lateness_tolerance = 0.2;
+  /// Bounds of the retry time given to a rejected caller.
+  Duration min_retry_after = fromMillis(300);
+  Duration max_retry_after = fromMillis(1500);
 };
 
-/// Decides at a request's arrival whether it is worth sending to an engine. Engines take requests in the order of their
-/// arrival, so while more come than can be served, whatever is sent makes all later ones late; a request that is
-/// refused at once, with a time to come back, can still be in time then. No clock. Belongs to one thread.
+/// Decides at a request's arrival whether sending it to an engine is worthwhile. Engines serve requests in arrival
+/// order, so under overload every request that is sent delays all later ones. A request that is rejected immediately
+/// with a retry time can still meet its objective on the next try. Uses no clock. Not thread-safe.
 class ArrivalGate {
  public:
   explicit ArrivalGate(std::uint64_t seed, ArrivalGateLimits limits = {}) : limits_(limits), random_(seed) {}
 
-  /// True if the request can still be in time, or nearly so, after the wait that is expected at its engine.
+  /// True if the request can meet its objective, within the tolerance, after the expected wait at its engine. Requests
+  /// without an objective are always admitted.
   bool admits(Duration objective, Duration waited, Duration expected_wait) const;
-  /// How long a request may still wait before its engine begins with it; zero or less if it will be late anyway.
+  /// Longest time that a request may still wait before its engine starts on it; zero or less if the objective can no
+  /// longer be met.
   Duration longestWait(Duration objective, Duration waited) const;
-  /// When to come back: once the wait has passed, spread so that callers do not come back as one crowd.
+  /// Returns the retry time for a rejected caller: the expected wait, with jitter so that callers do not retry in
+  /// bursts, within the configured bounds.
   Duration comeBackAfter(Duration expected_wait);
 
  private:
--- a/src/request/exchange/engine_keys.hpp
+++ b/src/request/exchange/engine_keys.hpp
@@ -9,17 +9,16 @@
 
 namespace hatchfork::request {
 
-/// Short name of an engine in digests of loads: a hash of its identifier. Two engines with equal hashes would be told
-/// each other's loads; among 10,000 engines that happens in one fleet of a hundred, and misleads the choice of these
-/// two engines only.
+/// Hash of an engine's identifier, used in load digests. Two engines with equal hashes receive each other's loads. With
+/// 10,000 engines this happens in one fleet of a hundred, and affects only the choice of these two engines.
 using EngineKey = std::uint32_t;
 EngineKey engineKey(const EngineId& engine);
 
-/// The engines of the fleet by their keys; one for all digests that a process reads. Belongs to one thread.
+/// Index of the fleet's engines by key, shared by all digest readers of a process. Not thread-safe.
 class EngineKeys {
  public:
   void take(const EngineChanges& changes);
-  /// Null for the key of no engine.
+  /// Null if no engine has the key.
   const EngineId* find(EngineKey key) const;
   std::size_t size() const { return engines_.size(); }
 
--- a/src/request/exchange/engine_pool.cpp
+++ b/src/request/exchange/engine_pool.cpp
@@ -6,27 +6,27 @@
 namespace hatchfork::request {
 namespace {
 
-/// A lane needs two engines beside it.
-constexpr std::size_t kFewestForLane = 3;
+/// Fewest engines of a service that has a lane: one in the lane and two outside.
+constexpr std::size_t kMinEnginesForLane = 3;
 
-/// Takes an engine out of a list, whose last one takes its place.
-void takeOut(std::vector<EngineState*>& list, std::size_t EngineState::*place, EngineState& engine) {
+/// Removes an engine from a list by moving the last one to its index.
+void removeFrom(std::vector<EngineState*>& list, std::size_t EngineState::*index, EngineState& engine) {
   EngineState* const last = list.back();
-  list[engine.*place] = last;
-  last->*place = engine.*place;
+  list[engine.*index] = last;
+  last->*index = engine.*index;
   list.pop_back();
 }
 
-void putIn(std::vector<EngineState*>& list, std::size_t EngineState::*place, EngineState& engine) {
-  engine.*place = list.size();
+void appendTo(std::vector<EngineState*>& list, std::size_t EngineState::*index, EngineState& engine) {
+  engine.*index = list.size();
   list.push_back(&engine);
 }
 
 }  // namespace
 
 void EnginePool::add(EngineState& engine) {
-  putIn(all_, &EngineState::place, engine);
-  putIn(zones_[engine.record.zone], &EngineState::zone_place, engine);
+  appendTo(all_, &EngineState::pool_index, engine);
+  appendTo(zones_[engine.record.zone], &EngineState::zone_index, engine);
   slots_ += engine.record.slots;
   const bool belongs_to_lane = !lane_.empty() && engine.id_hash < lane_.rbegin()->first;
   (belongs_to_lane ? lane_ : rest_).emplace(engine.id_hash, &engine);
@@ -35,8 +35,8 @@
 }
 
 void EnginePool::remove(EngineState& engine) {
-  takeOut(all_, &EngineState::place, engine);
-  takeOut(zones_.at(engine.record.zone), &EngineState::zone_place, engine);
+  removeFrom(all_, &EngineState::pool_index, engine);
+  removeFrom(zones_.at(engine.record.zone), &EngineState::zone_index, engine);
   slots_ -= engine.record.slots;
   leaveLane(engine);
   balanceLane();
@@ -55,7 +55,7 @@
 }
 
 std::size_t EnginePool::laneSize() const {
-  if (all_.size() < kFewestForLane) return 0;
+  if (all_.size() < kMinEnginesForLane) return 0;
   return static_cast<std::size_t>(std::lround(long_lane_share_ * static_cast<double>(all_.size())));
 }
 
@@ -75,15 +75,15 @@
   }
 }
 
-std::vector<EngineState*> drawNeighbours(const std::vector<EngineState*>& engines, std::size_t most,
-                                         std::mt19937_64& random) {
+std::vector<EngineState*> sampleConsecutive(const std::vector<EngineState*>& engines, std::size_t most,
+                                            std::mt19937_64& random) {
   if (engines.size() <= most) return engines;
   std::vector<EngineState*> drawn;
   drawn.reserve(most);
-  std::size_t place = std::uniform_int_distribution<std::size_t>(0, engines.size() - 1)(random);
+  std::size_t index = std::uniform_int_distribution<std::size_t>(0, engines.size() - 1)(random);
   while (drawn.size() < most) {
-    drawn.push_back(engines[place]);
-    place = place + 1 == engines.size() ? 0 : place + 1;
+    drawn.push_back(engines[index]);
+    index = index + 1 == engines.size() ? 0 : index + 1;
   }
   return drawn;
 }
--- a/src/request/exchange/engine_selector.cpp
+++ b/src/request/exchange/engine_selector.cpp
@@ -9,9 +9,9 @@
 namespace hatchfork::request {
 namespace {
 
-constexpr std::size_t kMostPrefixesRemembered = 4096;
-/// The figure of an engine that works as usual.
-constexpr double kUsualPace = 100;
+constexpr std::size_t kMaxPrefixesPerEngine = 4096;
+/// Reported pace of an engine at its usual speed.
+constexpr double kUsualPacePercent = 100;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
     if (!text.empty() && text.front() == ',') text.remove_prefix(1);
   }
   while (!text.empty() && text.front() == ' ') text.remove_prefix(1);
-  // Engines that tell no pace, or tell it in some other way, count as working as usual.
+  // Engines that report no pace, or one in another format, count as working at their usual speed.
   if (std::from_chars(text.data(), text.data() + text.size(), load.pace).ec != std::errc()) load.pace = 0;
   return load;
 }
@@ -38,7 +38,7 @@
 
 std::vector<EngineId> EngineSelector::ejectedEngines(Instant now, const ServiceId& service) const {
   std::vector<EngineId> ejected;
-  for (const EngineId& id : engaged_) {
+  for (const EngineId& id : active_engines_) {
     const auto found = engines_.find(id);
     if (found == engines_.end() || found->second.record.service != service) continue;
     if (now < found->second.ejected_until || found->second.gone) ejected.push_back(id);
@@ -57,30 +57,30 @@
   const auto found = engines_.find(engine);
   Instant due{};
   std::uint64_t unread = query.prompt.prompt_tokens;
-  bool had_place = false;
+  bool had_free_slot = false;
   if (found != engines_.end()) {
     EngineState& state = found->second;
-    engaged_.insert(engine);
+    active_engines_.insert(engine);
     ++state.in_flight;
     if (isCold(now, state)) {
       const Duration apart(static_cast<Duration::rep>(1e6 / coldRate(state)));
-      state.next_when_cold = std::max(now, state.next_when_cold) + apart;
+      state.next_while_cold = std::max(now, state.next_while_cold) + apart;
     }
     if (isSticky(query)) {
       const std::uint64_t prefix = prefixIdentity(query.prompt);
       const auto sent = state.prefixes.find(prefix);
-      const bool kept = sent != state.prefixes.end() && now - sent->second < kPrefixKept;
-      if (kept) unread -= std::min<std::uint64_t>(unread, query.prompt.sharedTokens());
-      if (state.prefixes.size() >= kMostPrefixesRemembered) state.prefixes.clear();
+      const bool is_cached = sent != state.prefixes.end() && now - sent->second < kPrefixRetention;
+      if (is_cached) unread -= std::min<std::uint64_t>(unread, query.prompt.sharedTokens());
+      if (state.prefixes.size() >= kMaxPrefixesPerEngine) state.prefixes.clear();
       state.prefixes[prefix] = now;
     }
     state.unread_tokens += unread;
     due = now + answerDue(now, state);
-    had_place = estimatedRunning(now, state) <= state.record.slots;
+    had_free_slot = estimatedRunning(now, state) <= state.record.slots;
     state.due.insert(due);
   }
   const WallMillis born = found == engines_.end() ? 0 : found->second.record.born;
-  tickets_[ticket] = Ticket{engine, born, unread, due, false, query.background, Instant{}, had_place};
+  tickets_[ticket] = Ticket{engine, born, unread, due, false, query.background, Instant{}, had_free_slot};
   noteChange();
   return ticket;
 }
@@ -110,7 +110,7 @@
 void EngineSelector::takePace(Instant now, EngineState& state, std::uint32_t pace) {
   if (state.service_pace == nullptr) return;
   state.service_pace->noteTold();
-  state.pace.noteTold(now, pace / kUsualPace, limits_.pace);
+  state.pace.noteTold(now, pace / kUsualPacePercent, limits_.pace);
 }
 
 void EngineSelector::notePace(Instant now, TicketId ticket, std::uint32_t pace) {
@@ -124,47 +124,48 @@
   if (found == tickets_.end() || found->second.background) return;
   EngineState* const state = engineOf(found->second);
   if (state == nullptr || state->service_pace == nullptr) return;
-  // The time of an answer that comes whole holds the wait for a place.
-  if (timing.events == 0 && !found->second.had_place) return;
+  // The time of an answer that arrives at once includes the wait for a slot.
+  if (timing.events == 0 && !found->second.had_free_slot) return;
   state->service_pace->note(timing, limits_.pace);
   state->pace.note(timing, *state->service_pace, limits_.pace);
-  if (!found->second.had_place) return;
+  if (!found->second.had_free_slot) return;
   const double reading_ms = static_cast<double>(found->second.unread_tokens) / limits_.prompt_tokens_per_ms;
   state->service_pace->noteFirst(timing.first_ms, reading_ms, limits_.pace);
 }
 
-void EngineSelector::noteTelling(Instant now) {
-  const bool is_first = others_noted_at_ == Instant::min();
-  const Duration gap = is_first ? Duration::zero() : std::min(now - others_noted_at_, limits_.others_known_for);
-  others_noted_at_ = now;
-  const double more = limits_.blind_learning_rate * static_cast<double>((gap - told_every_).count());
-  told_every_ += Duration(static_cast<Duration::rep>(more));
+void EngineSelector::notePeerReport(Instant now) {
+  const bool is_first = peer_loads_at_ == Instant::min();
+  const Duration gap = is_first ? Duration::zero() : std::min(now - peer_loads_at_, limits_.peer_load_lifetime);
+  peer_loads_at_ = now;
+  const double more =
+      limits_.report_interval_learning_rate * static_cast<double>((gap - mean_report_interval_).count());
+  mean_report_interval_ += Duration(static_cast<Duration::rep>(more));
 }
 
-/// Costs what is loaded: an engine that is not named belongs to an older telling.
+/// Time grows with the engines under load: engines that are not named keep an older report number.
 void EngineSelector::noteOthers(Instant now, const std::vector<EngineShare>& others) {
-  noteTelling(now);
-  ++others_telling_;
-  for (auto& [service, pool] : pools_) pool.forgetOthers();
+  notePeerReport(now);
+  ++peer_report_;
+  for (auto& [service, pool] : pools_) pool.clearPeers();
   for (const EngineShare& share : others) {
     const auto found = engines_.find(share.engine);
     if (found == engines_.end()) continue;
     EngineState& state = found->second;
-    state.known_others = KnownLoad{share.in_flight, share.unread_tokens, share.avoid_ms};
-    state.known_telling = others_telling_;
-    if (EnginePool* const pool = poolOf(state.record.service)) pool->addOthers(share.in_flight);
-    if (share.unread_tokens >= limits_.long_prompt_tokens) long_prompt_heard_at_[state.record.service] = now;
+    state.peer_load = PeerLoad{share.in_flight, share.unread_tokens, share.avoid_ms};
+    state.peer_report = peer_report_;
+    if (EnginePool* const pool = poolOf(state.record.service)) pool->addPeers(share.in_flight);
+    if (share.unread_tokens >= limits_.long_prompt_tokens) peer_long_prompt_at_[state.record.service] = now;
   }
   noteSurges(now);
 }
 
 void EngineSelector::noteBackground(const std::vector<EngineShare>& background) {
-  ++background_telling_;
+  ++background_report_;
   for (const EngineShare& share : background) {
     const auto found = engines_.find(share.engine);
     if (found == engines_.end()) continue;
     found->second.background = share.in_flight;
-    found->second.background_telling = background_telling_;
+    found->second.background_report = background_report_;
   }
 }
 
@@ -175,21 +176,21 @@
 
 std::vector<EngineShare> EngineSelector::ownShares(Instant now) {
   std::vector<EngineShare> shares;
-  for (auto engaged = engaged_.begin(); engaged != engaged_.end();) {
-    const auto engine = engines_.find(*engaged);
+  for (auto active = active_engines_.begin(); active != active_engines_.end();) {
+    const auto engine = engines_.find(*active);
     if (engine == engines_.end()) {
-      engaged = engaged_.erase(engaged);
+      active = active_engines_.erase(active);
       continue;
     }
     const EngineState& state = engine->second;
     double avoid = overdueMs(now, state);
     if (now < state.ejected_until) avoid = std::max(avoid, toSeconds(state.ejected_until - now) * 1000);
     if (state.in_flight == 0 && avoid < 1) {
-      engaged = engaged_.erase(engaged);
+      active = active_engines_.erase(active);
       continue;
     }
-    shares.push_back(EngineShare{*engaged, state.in_flight, state.unread_tokens, static_cast<std::uint32_t>(avoid)});
-    ++engaged;
+    shares.push_back(EngineShare{*active, state.in_flight, state.unread_tokens, static_cast<std::uint32_t>(avoid)});
+    ++active;
   }
   return shares;
 }
@@ -204,7 +205,7 @@
   EngineState* const engine = engineOf(ended);
   if (engine == nullptr) return;
   EngineState& state = *engine;
-  if (verdict == EngineVerdict::kGood) learnHold(now, ended, state);
+  if (verdict == EngineVerdict::kGood) learnSlotHold(now, ended, state);
   if (state.in_flight > 0) --state.in_flight;
   if (verdict == EngineVerdict::kGood) state.failures = 0;
   if (verdict == EngineVerdict::kGone) {
@@ -212,11 +213,11 @@
     state.gone = true;
   }
   if (verdict == EngineVerdict::kDeclined) state.ejected_until = std::max(state.ejected_until, now + fromMillis(50));
-  engaged_.insert(ended.engine);
+  active_engines_.insert(ended.engine);
   if (verdict != EngineVerdict::kFailed) return;
-  const Duration pause = limits_.first_ejection * (1 << std::min<std::uint32_t>(state.failures, 4));
+  const Duration pause = limits_.initial_ejection * (1 << std::min<std::uint32_t>(state.failures, 4));
   ++state.failures;
-  state.ejected_until = now + std::min(pause, limits_.longest_ejection);
+  state.ejected_until = now + std::min(pause, limits_.max_ejection);
 }
 
 std::size_t EngineSelector::engineCount(const ServiceId& service) const {
@@ -231,8 +232,8 @@
 
 std::optional<double> EngineSelector::placeFreedEveryMs(const ServiceId& service) const {
   const EnginePool* const pool = poolOf(service);
-  const auto hold = hold_ms_.find(service);
-  if (pool == nullptr || pool->slots() == 0 || hold == hold_ms_.end()) return std::nullopt;
+  const auto hold = slot_hold_ms_.find(service);
+  if (pool == nullptr || pool->slots() == 0 || hold == slot_hold_ms_.end()) return std::nullopt;
   return hold->second * static_cast<double>(pool->size()) / pool->slots();
 }
 
@@ -243,7 +244,7 @@
 
 double EngineSelector::placesFreedEachMs(Instant now, const ServiceId& service, const ZoneId& zone) const {
   const EnginePool* const pool = poolOf(service);
-  if (pool == nullptr || !hold_ms_.contains(service)) return 0;
+  if (pool == nullptr || !slot_hold_ms_.contains(service)) return 0;
   const double hold_ms = std::max(1.0, slotHoldMs(service));
   double freed = 0;
   for (const EngineState* const state : pool->ofZone(zone)) {
--- a/src/request/exchange/engine_selector_choice.cpp
+++ b/src/request/exchange/engine_selector_choice.cpp
@@ -6,12 +6,12 @@
 #include "request/exchange/engine_selector.hpp"
 #include "request/exchange/prefix_identity.hpp"
 
-// Which engine a request goes to.
+// Choice of the engine for a request.
 namespace hatchfork::request {
 namespace {
 
-/// Chance in a choice, so that processes with the same view do not all choose the same engine.
-constexpr double kMostJitterMs = 3;
+/// Random jitter of a cost, so that processes with the same view do not all choose the same engine.
+constexpr double kMaxJitterMs = 3;
 
 }  // namespace
 
@@ -25,29 +25,29 @@
   return !query.excluded.contains(state.record.id);
 }
 
-bool EngineSelector::bearsAnother(Instant now, const EngineState& state, const EngineQuery& query) const {
+bool EngineSelector::admitsAnother(Instant now, const EngineState& state, const EngineQuery& query) const {
   if (!isCold(now, state)) return true;
   const bool is_owner = !query.background && state.record.zone == limits_.cold_zone;
-  return is_owner && now >= state.next_when_cold;
+  return is_owner && now >= state.next_while_cold;
 }
 
 std::vector<EngineState*> EngineSelector::candidates(Instant now, const EngineQuery& query, const EnginePool& pool) {
   std::vector<EngineState*> usable;
   std::vector<EngineState*> ejected;
   bool any_in_rotation = false;
-  const double kept_free = query.background ? keptFreeEach(now, query.service) * (1 - query.urgency) : 0;
-  const std::size_t looked_at = isSticky(query) ? pool.size() : limits_.looked_at_most;
-  for (EngineState* const state : drawNeighbours(pool.all(), looked_at, random_)) {
-    if (!isAllowed(*state, query) || !bearsAnother(now, *state, query)) continue;
+  const double reserve = query.background ? surgeReservePerEngine(now, query.service) * (1 - query.urgency) : 0;
+  const std::size_t examined = isSticky(query) ? pool.size() : limits_.max_examined;
+  for (EngineState* const state : sampleConsecutive(pool.all(), examined, random_)) {
+    if (!isAllowed(*state, query) || !admitsAnother(now, *state, query)) continue;
     any_in_rotation = any_in_rotation || now >= state->ejected_until;
-    if (query.background && !hasBackgroundRoom(now, *state, kept_free)) continue;
-    if (query.wants_free_place && !hasFreePlace(now, *state, query)) continue;
+    if (query.background && !hasBackgroundRoom(now, *state, reserve)) continue;
+    if (query.wants_free_place && !hasFreeSlot(now, *state, query)) continue;
     (now < state->ejected_until ? ejected : usable).push_back(state);
   }
-  // Batch work, and requests that stand in line, wait for room at an engine in rotation.
+  // Batch work and queued requests wait for room at an engine in rotation.
   if ((query.background || query.wants_free_place) && any_in_rotation) return usable;
   const std::size_t all = usable.size() + ejected.size();
-  const auto least = static_cast<std::size_t>(std::ceil(static_cast<double>(all) * (1 - limits_.most_ejected_share)));
+  const auto least = static_cast<std::size_t>(std::ceil(static_cast<double>(all) * (1 - limits_.max_ejected_share)));
   std::sort(ejected.begin(), ejected.end(), [](const EngineState* left, const EngineState* right) {
     return left->ejected_until < right->ejected_until;
   });
@@ -57,11 +57,12 @@
 
 std::size_t EngineSelector::sampleSize(Instant now, const EngineQuery& query, const EnginePool& pool,
                                        std::size_t usable) const {
-  if (!knowsOthers(now)) return usable;
-  const Duration blind_for = std::max(limits_.blind_for, told_every_);
-  const double blind_choices = pool.othersInFlight() / slotHoldMs(query.service) * toSeconds(blind_for) * 1000;
-  if (blind_choices <= limits_.blind_choices_each) return usable;
-  const double share = limits_.blind_choices_each / blind_choices;
+  if (!hasPeerLoads(now)) return usable;
+  const Duration report_interval = std::max(limits_.min_report_interval, mean_report_interval_);
+  const double choices_per_report =
+      pool.peersInFlight() / slotHoldMs(query.service) * toSeconds(report_interval) * 1000;
+  if (choices_per_report <= limits_.choices_per_engine_and_report) return usable;
+  const double share = limits_.choices_per_engine_and_report / choices_per_report;
   return static_cast<std::size_t>(std::ceil(share * static_cast<double>(usable)));
 }
 
@@ -70,7 +71,7 @@
   const std::size_t sample_size = sampleSize(now, query, pool, usable.size());
   if (sample_size >= usable.size()) return;
   const auto first_overdue = std::partition(
-      usable.begin(), usable.end(), [this, now](const EngineState* state) { return silenceCost(now, *state) == 0; });
+      usable.begin(), usable.end(), [this, now](const EngineState* state) { return overdueCost(now, *state) == 0; });
   if (first_overdue != usable.begin()) usable.erase(first_overdue, usable.end());
   if (sample_size >= usable.size()) return;
   std::shuffle(usable.begin(), usable.end(), random_);
@@ -82,8 +83,8 @@
   const EnginePool* const pool = poolOf(query.service);
   if (pool == nullptr) return std::nullopt;
   const bool sticky = isSticky(query);
-  if (!sticky && pool->size() > limits_.drawn_from) {
-    if (std::optional<EngineChoice> drawn = chooseAmongDrawn(now, query, *pool)) return drawn;
+  if (!sticky && pool->size() > limits_.sampled_from) {
+    if (std::optional<EngineChoice> drawn = chooseFromSample(now, query, *pool)) return drawn;
   }
   std::vector<EngineState*> usable = candidates(now, query, *pool);
   if (usable.empty()) return std::nullopt;
@@ -92,42 +93,42 @@
   const std::vector<EngineId> homes = sticky ? homesOf(prefix, usable) : std::vector<EngineId>();
   EngineState* best = nullptr;
   double best_cost = 0;
-  double best_kept = 0;
-  std::uniform_real_distribution<double> jitter(0.0, kMostJitterMs);
+  double best_cached_share = 0;
+  std::uniform_real_distribution<double> jitter(0.0, kMaxJitterMs);
   for (EngineState* state : usable) {
-    const double kept = sticky ? keptShare(now, *state, prefix, homes) : 0;
-    const double total = cost(now, *state, query, kept) + jitter(random_);
+    const double cached_share = sticky ? cachedShare(now, *state, prefix, homes) : 0;
+    const double total = cost(now, *state, query, cached_share) + jitter(random_);
     if (best != nullptr && total >= best_cost) continue;
     best = state;
     best_cost = total;
-    best_kept = kept;
+    best_cached_share = cached_share;
   }
-  return describe(now, *best, query, best_cost, best_kept, usable.size());
+  return describe(now, *best, query, best_cost, best_cached_share, usable.size());
 }
 
-std::optional<EngineChoice> EngineSelector::chooseAmongDrawn(Instant now, const EngineQuery& query,
+std::optional<EngineChoice> EngineSelector::chooseFromSample(Instant now, const EngineQuery& query,
                                                              const EnginePool& pool) {
-  std::size_t most = limits_.drawn_first;
-  const bool is_blind = !query.background && !limits_.places_zone;
-  if (is_blind) most = std::min(most, sampleSize(now, query, pool, pool.size()));
-  std::optional<EngineChoice> near = cheapestDrawn(now, query, drawNeighbours(pool.ofZone(query.zone), most, random_));
-  return near ? near : cheapestDrawn(now, query, drawNeighbours(pool.all(), most, random_));
+  std::size_t most = limits_.sampled_first;
+  const bool uses_delayed_loads = !query.background && !limits_.places_zone;
+  if (uses_delayed_loads) most = std::min(most, sampleSize(now, query, pool, pool.size()));
+  std::optional<EngineChoice> near = cheapestOf(now, query, sampleConsecutive(pool.ofZone(query.zone), most, random_));
+  return near ? near : cheapestOf(now, query, sampleConsecutive(pool.all(), most, random_));
 }
 
-std::optional<EngineChoice> EngineSelector::cheapestDrawn(Instant now, const EngineQuery& query,
-                                                          const std::vector<EngineState*>& drawn) {
-  const double kept_free = query.background ? keptFreeEach(now, query.service) * (1 - query.urgency) : 0;
+std::optional<EngineChoice> EngineSelector::cheapestOf(Instant now, const EngineQuery& query,
+                                                       const std::vector<EngineState*>& drawn) {
+  const double reserve = query.background ? surgeReservePerEngine(now, query.service) * (1 - query.urgency) : 0;
   const double reading_ms = static_cast<double>(query.prompt.prompt_tokens) / limits_.prompt_tokens_per_ms;
   double best_cost = reading_ms + limits_.good_enough_ms;
-  // Any engine with a free place is good enough where they are uneven.
-  if (!drawn.empty() && isUneven(*drawn.front())) best_cost += limits_.even_fill_ms;
+  // Where engines have different speeds, any engine with a free slot is good enough.
+  if (!drawn.empty() && isUneven(*drawn.front())) best_cost += limits_.uneven_fill_ms;
   const EngineState* best = nullptr;
-  std::uniform_real_distribution<double> jitter(0.0, kMostJitterMs);
+  std::uniform_real_distribution<double> jitter(0.0, kMaxJitterMs);
   for (const EngineState* const state : drawn) {
     if (now < state->ejected_until || !isAllowed(*state, query)) continue;
-    if (!bearsAnother(now, *state, query)) continue;
-    if (query.background && !hasBackgroundRoom(now, *state, kept_free)) continue;
-    if (query.wants_free_place && !hasFreePlace(now, *state, query)) continue;
+    if (!admitsAnother(now, *state, query)) continue;
+    if (query.background && !hasBackgroundRoom(now, *state, reserve)) continue;
+    if (query.wants_free_place && !hasFreeSlot(now, *state, query)) continue;
     const double total = cost(now, *state, query, 0) + jitter(random_);
     if (total >= best_cost) continue;
     best = state;
@@ -164,34 +165,34 @@
   return homes;
 }
 
-double EngineSelector::keptShare(Instant now, const EngineState& state, std::uint64_t prefix,
-                                 const std::vector<EngineId>& homes) const {
+double EngineSelector::cachedShare(Instant now, const EngineState& state, std::uint64_t prefix,
+                                   const std::vector<EngineId>& homes) const {
   const auto sent = state.prefixes.find(prefix);
-  const bool sent_lately = sent != state.prefixes.end() && now - sent->second < kPrefixKept;
+  const bool sent_lately = sent != state.prefixes.end() && now - sent->second < kPrefixRetention;
   if (sent_lately || (!homes.empty() && homes.front() == state.record.id)) return 1;
   const bool at_home = std::find(homes.begin(), homes.end(), state.record.id) != homes.end();
-  return at_home ? limits_.kept_at_other_homes : 0;
+  return at_home ? limits_.secondary_home_cached_share : 0;
 }
 
 EngineChoice EngineSelector::describe(Instant now, const EngineState& state, const EngineQuery& query, double cost_ms,
-                                      double kept, std::size_t among) const {
+                                      double cached_share, std::size_t among) const {
   EngineChoice choice;
   choice.engine = state.record;
   choice.cost_ms = cost_ms;
   choice.slowness = slowness(now, state);
   choice.pace_age_ms = state.pace.toldAgeMs(now);
   choice.expected_first_ms =
-      std::max(0.0, readingMs(now, state, query, kept, choice.slowness) + paceMs(state, choice.slowness));
-  // A guessed time would turn callers back just when processes have started anew.
-  if (hold_ms_.contains(state.record.service)) choice.expected_first_ms += slotWaitMs(now, state, choice.slowness);
+      std::max(0.0, readingMs(now, state, query, cached_share, choice.slowness) + paceMs(state, choice.slowness));
+  // A guessed hold time would reject callers just after processes have restarted.
+  if (slot_hold_ms_.contains(state.record.service)) choice.expected_first_ms += slotWaitMs(now, state, choice.slowness);
   choice.in_flight = state.in_flight;
   choice.estimated_running = estimatedRunning(now, state);
   choice.load_age_ms = state.load_at == Instant::min() ? -1 : toMillis(now - state.load_at);
-  choice.expects_cached_prefix = kept > 0;
+  choice.expects_cached_prefix = cached_share > 0;
   choice.in_long_lane = state.in_long_lane;
   choice.candidates = among;
-  choice.must_give_way = mustGiveWay(now, state);
-  choice.detour_ms = silenceCost(now, state);
+  choice.must_give_way = needsPreemption(now, state);
+  choice.detour_ms = overdueCost(now, state);
   if (state.record.zone != query.zone) {
     choice.detour_ms += limits_.other_zone_cost_ms + riskCost(state, choice.estimated_running);
   }
--- a/src/request/exchange/engine_selector_engines.cpp
+++ b/src/request/exchange/engine_selector_engines.cpp
@@ -3,7 +3,7 @@
 #include "request/exchange/engine_selector.hpp"
 #include "request/exchange/prefix_identity.hpp"
 
-// Which engines there are, and which of them stand in the pools that choices are made from.
+// Fleet changes, and the pools of open engines that choices are made from.
 namespace hatchfork::request {
 
 void EngineSelector::takeEngines(Instant now, const EngineChanges& changes) {
@@ -25,7 +25,7 @@
   EngineState& state = entry->second;
   if (!is_new) {
     removeFromPool(state);
-    // A new life has none of the requests, loads, prefixes and verdicts of the one before.
+    // A new incarnation has none of the requests, loads, prefixes and outcomes of the previous one.
     if (compareLives(record.born, state.record.born) != LifeOrder::kSame) state = EngineState{};
   }
   if (record.cold_ms != state.record.cold_ms) state.cold_until = now + fromMillis(record.cold_ms);
--- a/src/request/exchange/engine_state.hpp
+++ b/src/request/exchange/engine_state.hpp
@@ -11,51 +11,51 @@
 
 namespace hatchfork::request {
 
-/// What the other processes have in flight at an engine.
-struct KnownLoad {
+/// Load that the peer processes have at an engine.
+struct PeerLoad {
   std::uint32_t in_flight = 0;
   std::uint64_t unread_tokens = 0;
   std::uint32_t avoid_ms = 0;
 };
 
-/// What one process knows of one engine.
+/// State that one process keeps of one engine.
 struct EngineState {
   EngineRecord record;
-  /// Same at all processes: ranks the engine for lanes and prefixes.
+  /// Equal in all processes: ranks the engine for lanes and prefixes.
   std::uint64_t id_hash = 0;
   std::uint32_t in_flight = 0;
-  /// Prompt tokens of own requests that have not begun to answer.
+  /// Prompt tokens of own requests without a first byte yet.
   std::uint64_t unread_tokens = 0;
-  /// When the first byte of each own request that has none is due.
+  /// Due time of the first byte of each own request that has none yet.
   std::multiset<Instant> due;
-  /// Requests of other processes at the time of the last report.
+  /// Requests of the peer processes according to the engine's last load report.
   double others = 0;
   Instant load_at = Instant::min();
-  /// Exact counts of the other processes, and in which telling of them: engines that the newest one did not name have
-  /// none.
-  KnownLoad known_others;
-  std::uint64_t known_telling = 0;
-  /// Batch runs that give way to online requests, counted apart from all else, and in which telling of them.
+  /// Exact counts of the peer processes, and the number of the peer report that they come from: engines that the newest
+  /// report does not name have no peer load.
+  PeerLoad peer_load;
+  std::uint64_t peer_report = 0;
+  /// Preemptible batch runs, counted apart from all other requests, and the number of the report that they come from.
   std::uint32_t background = 0;
-  std::uint64_t background_telling = 0;
+  std::uint64_t background_report = 0;
   bool in_long_lane = false;
   bool gone = false;
   bool evacuated = false;
-  /// Until when it is cold, and from when on it bears the next request while it is.
+  /// End of the cold period, and the earliest time of the next request within that period.
   Instant cold_until = Instant::min();
-  Instant next_when_cold = Instant::min();
+  Instant next_while_cold = Instant::min();
   std::uint32_t failures = 0;
   Instant ejected_until = Instant::min();
-  /// When requests that share a prefix were last sent here, by the identity of the prefix.
+  /// When requests with a shared prefix were last sent here, by prefix identity.
   std::unordered_map<std::uint64_t, Instant> prefixes;
-  /// How fast this life works, and what is usual at its service, which the owner of this state keeps.
+  /// Speed of this incarnation of the engine, and the usual speed at its service, which the owner of this state keeps.
   EnginePace pace;
   ServicePace* service_pace = nullptr;
-  /// Where its pool keeps it: among all, among those of its zone.
-  std::size_t place = 0;
-  std::size_t zone_place = 0;
+  /// Index in the pool's list of all engines and in its list of the zone's engines.
+  std::size_t pool_index = 0;
+  std::size_t zone_index = 0;
 
-  /// False if nothing more may be sent to it.
+  /// False if the engine must get no new requests.
   bool isOpen() const { return !record.leaving && !gone && !evacuated; }
 };
 
--- a/src/request/exchange/load_board.hpp
+++ b/src/request/exchange/load_board.hpp
@@ -11,18 +11,18 @@
 
 namespace hatchfork::request {
 
-/// What one process, or all of them together, have in flight at an engine.
+/// Load at an engine that is caused by one process, or by all of them together.
 struct EngineShare {
   EngineId engine;
   std::uint32_t in_flight = 0;
-  /// Prompt tokens that the engine has still to read for them.
+  /// Prompt tokens of these requests that the engine has yet to read.
   std::uint64_t unread_tokens = 0;
-  /// How strongly the process wants to avoid the engine: by how many milliseconds an answer is overdue, or how long it
-  /// is still out of rotation. Over several processes, the greatest.
+  /// Time in milliseconds by which an answer of the engine is overdue, or for which the engine remains out of rotation.
+  /// Over several processes, the greatest.
   std::uint32_t avoid_ms = 0;
   bool operator==(const EngineShare&) const = default;
 };
-/// An array without field names: every process sends its shares several times a second.
+/// Serialized as an array without field names, since every process sends its shares several times a second.
 inline void to_json(nlohmann::json& json, const EngineShare& share) {
   json = nlohmann::json::array({share.engine, share.in_flight, share.unread_tokens, share.avoid_ms});
 }
@@ -33,13 +33,13 @@
   json.at(3).get_to(share.avoid_ms);
 }
 
-/// Adds up what all processes have in flight at each engine, from their reports. A report counts until the next one of
-/// the same process, or for a second. No I/O, no clock.
+/// Sums the load of all processes at each engine from their reports. A report is valid until the next one of the same
+/// process, for one second at most. No I/O, no clock.
 class LoadBoard {
  public:
   void report(Instant now, const std::string& process, std::vector<EngineShare> shares);
   void expire(Instant now);
-  /// Sums over all processes, of engines with any load, by engine.
+  /// Sums over all processes for the engines with any load, ordered by engine.
   std::vector<EngineShare> totals() const;
   std::size_t processes() const { return reports_.size(); }
 
@@ -48,13 +48,13 @@
     Instant at{};
     std::vector<EngineShare> shares;
   };
-  /// What all processes together have in flight at one engine.
+  /// Load of all processes together at one engine.
   struct Total {
     std::uint32_t in_flight = 0;
     std::uint64_t unread_tokens = 0;
-    /// Only of processes that want to avoid the engine.
+    /// Only of processes that report an avoid time for the engine.
     std::map<std::string, std::uint32_t> avoid_ms;
-    /// Reports that name the engine.
+    /// Number of reports that name the engine.
     std::size_t reports = 0;
   };
 
--- a/src/request/exchange/load_digest.cpp
+++ b/src/request/exchange/load_digest.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kKeyBytes = 4;
 constexpr std::size_t kFieldBytes = 1;
 
-/// A count in units, rounded up so that something is never told as nothing.
+/// Returns a count in units, rounded up so that a small load is never encoded as none.
 std::uint8_t inUnits(std::uint64_t value, std::uint64_t unit) {
   const std::uint64_t units = (value + unit - 1) / unit;
   return static_cast<std::uint8_t>(std::min<std::uint64_t>(units, std::numeric_limits<std::uint8_t>::max()));
@@ -49,21 +49,21 @@
 
 }  // namespace
 
-std::string LoadDigestWriter::changes(const std::vector<EngineShare>& totals, std::size_t most_entries) {
+std::string LoadDigestWriter::changes(const std::vector<EngineShare>& totals, std::size_t max_entries) {
   std::map<EngineKey, std::string> changed;
-  for (const auto& [key, values] : told_) changed[key] = noLoad();
+  for (const auto& [key, values] : sent_) changed[key] = noLoad();
   for (const EngineShare& share : totals) changed[engineKey(share.engine)] = encodeValues(share);
   std::erase_if(changed, [this](const auto& entry) {
-    const auto told = told_.find(entry.first);
-    return told != told_.end() && told->second == entry.second;
+    const auto sent = sent_.find(entry.first);
+    return sent != sent_.end() && sent->second == entry.second;
   });
   std::string bytes;
   auto entry = changed.lower_bound(next_);
-  for (std::size_t count = std::min(most_entries, changed.size()); count > 0; --count) {
+  for (std::size_t count = std::min(max_entries, changed.size()); count > 0; --count) {
     if (entry == changed.end()) entry = changed.begin();
     appendEntry(bytes, entry->first, entry->second);
-    told_[entry->first] = entry->second;
-    if (entry->second == noLoad()) told_.erase(entry->first);
+    sent_[entry->first] = entry->second;
+    if (entry->second == noLoad()) sent_.erase(entry->first);
     ++entry;
   }
   next_ = entry == changed.end() ? 0 : entry->first;
@@ -72,7 +72,7 @@
 
 std::string LoadDigestWriter::all() const {
   std::string bytes;
-  for (const auto& [key, values] : told_) appendEntry(bytes, key, values);
+  for (const auto& [key, values] : sent_) appendEntry(bytes, key, values);
   return bytes;
 }
 
@@ -104,10 +104,10 @@
     Load& load = found->second;
     load.in_flight -= std::min(load.in_flight, share.in_flight);
     load.unread_tokens -= std::min(load.unread_tokens, share.unread_tokens);
-    // Own tokens are told rounded up.
+    // Own tokens are encoded rounded up.
     if (load.unread_tokens < kUnreadUnit) load.unread_tokens = 0;
-    const bool is_own_word = load.avoid_ms < share.avoid_ms + kAvoidUnitMs;
-    if (share.avoid_ms > 0 && is_own_word) load.avoid_ms = 0;
+    const bool is_own_avoid = load.avoid_ms < share.avoid_ms + kAvoidUnitMs;
+    if (share.avoid_ms > 0 && is_own_avoid) load.avoid_ms = 0;
   }
   std::vector<EngineShare> list;
   for (const auto& [key, load] : rest) {
--- a/src/request/exchange/load_digest.hpp
+++ b/src/request/exchange/load_digest.hpp
@@ -13,40 +13,43 @@
 #include "request/exchange/engine_keys.hpp"
 #include "request/exchange/load_board.hpp"
 
-/// The loads of all engines in a few bytes each, encoded once for all receivers.
 ///
-/// An entry is seven bytes: the engine's key (4, little-endian), requests in flight (1), unread prompt tokens in units
-/// of 256 (1), and how strongly some process avoids the engine, in units of 16 ms (1). Counts beyond their field are
-/// told as the greatest that fits.
+/// Compact encoding of the loads of all engines, produced once for all receivers.
+///
+/// An entry has seven bytes: the engine's key (4, little-endian), requests in flight (1), unread prompt tokens in units
+/// of 256 (1), and the greatest avoid time that a process reports, in units of 16 ms (1). Values beyond their field are
+/// encoded as the greatest one that fits.
 namespace hatchfork::request {
 
 constexpr std::size_t kDigestEntryBytes = 7;
 
-/// Turns totals into digests; remembers what the last one told. Belongs to one thread.
+/// Encodes totals as digests of what has changed since the previous one. Not thread-safe.
 class LoadDigestWriter {
  public:
-  /// Entries that differ from what was told so far, `most_entries` at most: where there are more, each call goes on
-  /// where the last one ended, so that all have their turn. An engine without any load any more is told once, as zero.
+  /// Returns the entries that differ from those sent so far, `max_entries` at most. If there are more, the next call
+  /// continues after the last entry sent, so that every engine gets its turn. An engine whose load has dropped to zero
+  /// is sent once, as zero.
   std::string changes(const std::vector<EngineShare>& totals,
-                      std::size_t most_entries = std::numeric_limits<std::size_t>::max());
-  /// All entries that were told so far and are not zero, for a new receiver.
+                      std::size_t max_entries = std::numeric_limits<std::size_t>::max());
+  /// Returns all entries sent so far that are not zero, for a new receiver.
   std::string all() const;
 
  private:
-  /// Encoded values by engine.
-  std::map<EngineKey, std::string> told_;
-  /// The engine that the next call looks at first.
+  /// Encoded values last sent, by engine.
+  std::map<EngineKey, std::string> sent_;
+  /// First key of the next call.
   EngineKey next_ = 0;
 };
 
-/// One receiver's copy of the totals. Costs what is loaded, not what engines there are. Belongs to one thread.
+/// One receiver's copy of the totals. Memory and time grow with the engines under load, not with the fleet. Not
+/// thread-safe.
 class LoadDigestReader {
  public:
-  /// Takes a digest. `is_whole`: engines that it does not name have no load. False for malformed bytes, which change
-  /// nothing.
+  /// Applies a digest. `is_whole`: engines that the digest does not name have no load. Returns false for malformed
+  /// bytes, which change nothing.
   bool take(std::string_view digest, bool is_whole);
-  /// Totals less the own shares that they hold, of engines that `engines` knows. Where nobody avoids an engine more
-  /// than this process told itself, its own word is taken out.
+  /// Returns the totals without the own shares that they contain, for the engines that `engines` resolves. An avoid
+  /// time that is no greater than the one this process reported is taken as its own and left out.
   std::vector<EngineShare> others(const EngineKeys& engines, const std::vector<EngineShare>& own) const;
 
  private:
--- a/src/request/exchange/prefix_identity.hpp
+++ b/src/request/exchange/prefix_identity.hpp
@@ -8,14 +8,14 @@
 
 namespace hatchfork::request {
 
-/// An engine is taken to keep a prefix for this long after it was last sent there.
-constexpr Duration kPrefixKept = std::chrono::seconds(12);
+/// Time for which an engine is expected to keep a prefix in its cache after a request with the prefix was sent there.
+constexpr Duration kPrefixRetention = std::chrono::seconds(12);
 
-/// Spreads the bits of a value, so that ranks by it are as good as drawn by lot and the same at all processes.
+/// Mixes the bits of a value, so that ranking by the result is uniform and equal in all processes.
 std::uint64_t mixBits(std::uint64_t value);
-/// FNV-1a in 64 bits.
+/// 64-bit FNV-1a hash.
 std::uint64_t hashText(const std::string& text);
-/// Identity of all shared parts in their order; zero without any.
+/// Identity of all shared parts in their order; zero if the prompt has none.
 std::uint64_t prefixIdentity(const PromptShape& prompt);
 
 }  // namespace hatchfork::request
--- a/src/request/exchange/prompt_shape.cpp
+++ b/src/request/exchange/prompt_shape.cpp
@@ -13,9 +13,9 @@
   return error == std::errc() && end != text.data();
 }
 
-/// Calls `take` with each piece of a list that is joined by commas.
+/// Calls `take` with each element of a comma-separated list.
 template <class Function>
-void forEachPiece(std::string_view text, Function take) {
+void forEachElement(std::string_view text, Function take) {
   while (!text.empty()) {
     const std::size_t end = std::min(text.find(','), text.size());
     take(text.substr(0, end));
@@ -33,19 +33,19 @@
 
 PromptShape parsePromptShape(std::string_view parts, std::string_view usage) {
   PromptShape shape;
-  forEachPiece(parts, [&](std::string_view piece) {
+  forEachElement(parts, [&](std::string_view piece) {
     const std::size_t colon = piece.find(':');
     PromptPart part;
     if (colon == std::string_view::npos || !readNumber(piece.substr(0, colon), 16, part.id)) return;
     if (readNumber(piece.substr(colon + 1), 10, part.tokens)) shape.parts.push_back(part);
   });
   std::vector<std::uint32_t> numbers;
-  forEachPiece(usage, [&](std::string_view piece) {
+  forEachElement(usage, [&](std::string_view piece) {
     std::uint32_t number = 0;
     if (readNumber(piece, 10, number)) numbers.push_back(number);
   });
   if (!numbers.empty()) shape.prompt_tokens = numbers[0];
-  if (numbers.size() > 1) shape.most_tokens_out = numbers[1];
+  if (numbers.size() > 1) shape.max_output_tokens = numbers[1];
   if (shape.prompt_tokens == 0) {
     for (const PromptPart& part : shape.parts) shape.prompt_tokens += part.tokens;
   }
--- a/src/request/exchange/prompt_shape.hpp
+++ b/src/request/exchange/prompt_shape.hpp
@@ -13,19 +13,19 @@
   std::uint32_t tokens = 0;
 };
 
-/// What a gateway learns of a prompt from the headers of its request. All empty for requests that run no model.
+/// Prompt metadata from the headers of a request. Empty for requests that run no model.
 struct PromptShape {
-  /// In order; the last one belongs to this request alone.
+  /// In order; the last part belongs to this request alone.
   std::vector<PromptPart> parts;
   std::uint32_t prompt_tokens = 0;
-  std::uint32_t most_tokens_out = 0;
+  std::uint32_t max_output_tokens = 0;
 
-  /// Tokens of the parts before the last one.
+  /// Tokens of all parts but the last.
   std::uint32_t sharedTokens() const;
 };
 
-/// Reads "identifier:tokens,..." (identifiers in hex) and "prompt tokens,most tokens out". What is malformed is left
-/// out.
+/// Parses "identifier:tokens,..." (identifiers in hex) and "prompt tokens,maximum output tokens". Malformed entries are
+/// skipped.
 PromptShape parsePromptShape(std::string_view parts, std::string_view usage);
 
 }  // namespace hatchfork::request
--- a/src/request/exchange/stream_position.cpp
+++ b/src/request/exchange/stream_position.cpp
@@ -6,9 +6,9 @@
 namespace hatchfork::request {
 namespace {
 
-/// Answers that engines have closed, and none with a frame, before they are taken for engines that always close: an
-/// engine that breaks off does so now and then.
-constexpr std::uint32_t kClosesToBelieve = 8;
+/// Number of closed answers, with none framed, from which on engines are taken to always close. A single close proves
+/// nothing, since an engine that breaks off closes too.
+constexpr std::uint32_t kMinClosedAnswers = 8;
 
 }  // namespace
 
@@ -21,29 +21,29 @@
 
 EventPlace StreamPosition::take(std::optional<std::uint64_t> id, bool has_data) {
   if (!id && !has_data) return EventPlace::kNext;
-  if (!id && last_ && !is_placed_) return EventPlace::kUnknown;
+  if (!id && last_ && !is_aligned_) return EventPlace::kUnknown;
   if (id && last_ && *id <= *last_) {
-    is_placed_ = id == last_;
+    is_aligned_ = id == last_;
     return EventPlace::kRepeated;
   }
   if (id && last_ && *id > *last_ + 1) {
-    is_placed_ = false;
+    is_aligned_ = false;
     return EventPlace::kGap;
   }
   if (id) last_ = id;
-  if (id) is_placed_ = true;
-  if (!id) is_nameable_ = false;
-  if (std::exchange(close_is_open_, false)) was_asked_again_ = true;
+  if (id) is_aligned_ = true;
+  if (!id) is_resumable_ = false;
+  if (std::exchange(has_unproved_close_, false)) was_retried_ = true;
   return EventPlace::kNext;
 }
 
 TextEnd StreamPosition::judgeEnd(AnswerEnd end, const AnswerFraming& framing) {
-  if (end == AnswerEnd::kFramed || (close_is_open_ && framing.closesProve())) return TextEnd::kWhole;
-  if (std::exchange(close_is_open_, false) || was_asked_again_) {
-    was_asked_again_ = true;
+  if (end == AnswerEnd::kFramed || (has_unproved_close_ && framing.provesByClose())) return TextEnd::kWhole;
+  if (std::exchange(has_unproved_close_, false) || was_retried_) {
+    was_retried_ = true;
     return TextEnd::kBroken;
   }
-  close_is_open_ = true;
+  has_unproved_close_ = true;
   return TextEnd::kUnproved;
 }
 
@@ -52,8 +52,8 @@
   if (end == AnswerEnd::kClosed) ++closes_;
 }
 
-bool AnswerFraming::closesProve() const {
-  return !has_frames_ && closes_ >= kClosesToBelieve;
+bool AnswerFraming::provesByClose() const {
+  return !has_frames_ && closes_ >= kMinClosedAnswers;
 }
 
 }  // namespace hatchfork::request
--- a/src/request/exchange/stream_position.hpp
+++ b/src/request/exchange/stream_position.hpp
@@ -6,84 +6,87 @@
 
 namespace hatchfork::request {
 
-/// The identifier of an event as it stands in a header field or an event: a decimal number and nothing else.
+/// Parses an event identifier from a header field or an event; absent unless the text is a decimal number.
 std::optional<std::uint64_t> parseEventId(std::string_view text);
 
-/// What an event of an engine is to a reader that has part of the text.
+/// Position of an engine's event relative to the events that the reader has.
 enum class EventPlace {
-  /// It follows what the reader has.
+  /// The event follows the last one that the reader has.
   kNext,
-  /// The reader has it.
+  /// The reader has the event already.
   kRepeated,
-  /// Events between it and what the reader has are missing.
+  /// Events between the last one that the reader has and this one are missing.
   kGap,
-  /// It has no identifier, and no event of this answer before it tells where it belongs.
+  /// The event has no identifier, and no earlier event of this answer determines its position.
   kUnknown,
 };
 
-/// How an engine's answer ended where no event was under way.
+/// How an engine's answer ended where no event was incomplete.
 enum class AnswerEnd {
-  /// Its length or its last chunk came.
+  /// By its content length or its last chunk.
   kFramed,
-  /// The engine closed the connection of an answer that has neither.
+  /// By closing the connection, without a content length or chunks.
   kClosed,
 };
 
-/// How the engines of a service end their answers, as seen by one process. Where they give each answer a frame, a close
-/// is no end.
+/// Tracks how the engines of a service end their answers, as seen by one process. If they frame their answers (by
+/// length or chunks), a closed connection is not a regular end.
 class AnswerFraming {
  public:
   void note(AnswerEnd end);
-  /// True where the engines close all their answers, so that two answers that are closed at the same event prove a
-  /// text.
-  bool closesProve() const;
+  /// True if the engines end all answers by closing the connection. Then two answers closed at the same event prove
+  /// that the text is complete.
+  bool provesByClose() const;
 
  private:
   bool has_frames_ = false;
   std::uint32_t closes_ = 0;
 };
 
-/// What the end of an answer says of the text.
+/// What the end of an answer implies for the text.
 enum class TextEnd {
   kWhole,
-  /// A close looks the same at the end of a text and at the end of its engine: another answer can tell.
+  /// The engine closed the connection, which it does both at the end of a text and on a crash: another answer can
+  /// settle it.
   kUnproved,
-  /// Another answer was asked for and proved nothing either.
+  /// Another answer was requested and did not prove the end either.
   kBroken,
 };
 
-/// How far a text has got at the one who reads it, and whether it is whole: the one place that every attempt at an
-/// engine starts from and every event and end is checked against, for online streams and batch items. Identifiers of a
-/// text's events count up by one. Lives as long as the request or the run.
+/// Position of a reader in a generated text, and whether the text is complete. Every attempt at an engine starts from
+/// this position, and every event and end is checked against it, for online streams and batch items alike. The
+/// identifiers of a text's events count up by one. Lives as long as the request or the run.
 class StreamPosition {
  public:
-  /// `reader_has`: the last event that the reader had before; nothing if it has none. `ended_by_close`: the answer
-  /// before ended there by an unproved close.
+  /// `reader_has`: last event that the reader received earlier; absent if there is none. `ended_by_close`: the previous
+  /// answer ended there by an unproved close.
   explicit StreamPosition(std::optional<std::uint64_t> reader_has = std::nullopt, bool ended_by_close = false)
-      : last_(reader_has), close_is_open_(ended_by_close) {}
+      : last_(reader_has), has_unproved_close_(ended_by_close) {}
 
-  /// The next events come from another answer, which was asked to go on after `last`.
-  void beginAnswer() { is_placed_ = false; }
-  /// Judges an event, and counts it as read if it is the next one. An event without data is part of no text.
+  /// Starts a new answer, which was requested from the event after `last`.
+  void beginAnswer() { is_aligned_ = false; }
+  /// Classifies an event, and advances the position if the event is the next one. An event without data is not part of
+  /// the text.
   EventPlace take(std::optional<std::uint64_t> id, bool has_data);
-  /// Judges the end of an answer. The end of a frame proves a whole text; so does a close at the event where another
-  /// answer was closed before, for engines that always close.
+  /// Classifies the end of an answer. A framed end proves that the text is complete. So does a close at the same event
+  /// as the previous close, for engines that always close.
   TextEnd judgeEnd(AnswerEnd end, const AnswerFraming& framing);
 
-  /// The event after which the next attempt goes on; nothing for an attempt that begins with the first event.
+  /// Event after which the next attempt resumes; absent if the attempt starts from the first event.
   std::optional<std::uint64_t> last() const { return last_; }
-  /// False once something was read that no event's identifier names.
-  bool canGoOn() const { return is_nameable_; }
-  /// True while an unproved close stands and nothing has come since.
-  bool mayBeWhole() const { return close_is_open_; }
+  /// False once an event without an identifier was accepted: no later attempt can resume after it.
+  bool canGoOn() const { return is_resumable_; }
+  /// True after an unproved close, until another event arrives.
+  bool mayBeWhole() const { return has_unproved_close_; }
 
  private:
   std::optional<std::uint64_t> last_;
-  /// An event of this answer was the last one that the reader has: what follows it without an identifier is next.
-  bool is_placed_ = false;
-  bool is_nameable_ = true;
-  bool close_is_open_ = false;
-  bool was_asked_again_ = false;
+  /// The last event that the reader has was seen in this answer, so an event without an identifier that follows is the
+  /// next one.
+  bool is_aligned_ = false;
+  bool is_resumable_ = true;
+  bool has_unproved_close_ = false;
+  bool was_retried_ = false;
 };
 
 }  // namespace hatchfork::request
--- a/src/request/exchange/surge_meter.hpp
+++ b/src/request/exchange/surge_meter.hpp
@@ -7,22 +7,22 @@
 namespace hatchfork::request {
 
 struct SurgeMeterLimits {
-  /// A surge is how far the count rises within this time: about as long as room is made late.
+  /// A surge is the rise of the count within this time, which is about the delay with which room is made.
   Duration window = fromMillis(300);
-  /// Counts closer together than this are one.
+  /// Counts closer together than this are ignored.
   Duration sample_interval = fromMillis(20);
-  /// The largest surge counts half after this long.
+  /// Half-life of the largest surge.
   Duration half_life = std::chrono::seconds(10);
 };
 
-/// Measures how fast the number of online requests in flight rises at its worst, so that as many slots can be kept free
-/// for them. No clock. Belongs to one thread.
+/// Measures the steepest recent rise of the number of online requests in flight, so that enough slots can be kept free
+/// for the next one. Uses no clock. Not thread-safe.
 class SurgeMeter {
  public:
   explicit SurgeMeter(SurgeMeterLimits limits = {}) : limits_(limits) {}
 
   void note(Instant now, double in_flight);
-  /// The largest rise within the window, of late.
+  /// Returns the largest recent rise within the window, decayed by its age.
   double surge(Instant now) const;
 
  private:
--- a/src/request/exchange/weighted_split.hpp
+++ b/src/request/exchange/weighted_split.hpp
@@ -9,9 +9,8 @@
 
 namespace hatchfork::request {
 
-/// Shares the requests of each route out over its services so that every run of requests comes close to the weights
-/// (smooth weighted round robin). Starts at a place drawn by the seed, so that processes do not go in step. Belongs to
-/// one thread.
+/// Splits the requests of each route over its services so that every run of requests comes close to the weights (smooth
+/// weighted round robin). The seed sets the starting point, so that processes are not synchronized. Not thread-safe.
 class WeightedSplit {
  public:
   explicit WeightedSplit(std::uint64_t seed) : seed_(seed) {}
--- a/tests/request/exchange/arrival_gate_test.cpp
+++ b/tests/request/exchange/arrival_gate_test.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("a request that can be in time is admitted, one that can't is not", "[gate]") {
+TEST_CASE("a request is admitted only if it can meet its objective", "[gate]") {
   const ArrivalGate gate(1);
   REQUIRE(gate.admits(kObjective, fromMillis(0), fromMillis(0)));
   REQUIRE(gate.admits(kObjective, fromMillis(0), fromMillis(290)));
@@ -40,14 +40,14 @@
   REQUIRE(gate.admits(Duration::zero(), fromMillis(0), fromMillis(9000)));
 }
 
-TEST_CASE("callers that are rejected early come back spread and within bounds", "[gate]") {
+TEST_CASE("retry times of rejected callers are spread and within bounds", "[gate]") {
   ArrivalGate gate(1);
   Duration least = std::chrono::seconds(9);
   Duration most{};
   for (int i = 0; i < 200; ++i) {
-    const Duration come_back = gate.comeBackAfter(fromMillis(400));
-    least = std::min(least, come_back);
-    most = std::max(most, come_back);
+    const Duration retry_after = gate.comeBackAfter(fromMillis(400));
+    least = std::min(least, retry_after);
+    most = std::max(most, retry_after);
   }
   REQUIRE(least >= fromMillis(300));
   REQUIRE(most <= fromMillis(1500));
@@ -70,26 +70,26 @@
     REQUIRE(gate.admits(kObjective, Duration::zero(), waits()));
     selector.noteFirstByte(kStart, selector.begin(kStart, EngineId("engine-0"), query()));
   }
-  // Each further one waits for a tenth of the time for which a slot is held.
+  // Each further request waits for a tenth of the slot hold time.
   REQUIRE(waits() == fromMillis(70));
   for (int i = 0; i < 6; ++i) selector.noteFirstByte(kStart, selector.begin(kStart, EngineId("engine-0"), query()));
   REQUIRE_FALSE(gate.admits(kObjective, Duration::zero(), waits()));
 }
 
-TEST_CASE("a process that has not seen how long slots are held turns nobody back for the wait", "[gate][selector]") {
+TEST_CASE("no request is rejected for its wait before the slot hold time is known", "[gate][selector]") {
   EngineSelector selector(1);
   selector.takeEngines(kStart, wholeListOf({engine()}));
   for (int i = 0; i < 40; ++i) selector.noteFirstByte(kStart, selector.begin(kStart, EngineId("engine-0"), query()));
   REQUIRE(selector.choose(kStart, query())->expected_first_ms < 10);
 }
 
-TEST_CASE("the time for which slots are held is learned from online requests alone", "[gate][selector]") {
+TEST_CASE("the slot hold time is learned from online requests alone", "[gate][selector]") {
   EngineSelector selector(1);
   selector.takeEngines(kStart, wholeListOf({engine()}));
   const auto run = [&](bool background, Duration held) {
-    EngineQuery asked = query();
-    asked.background = background;
-    const TicketId ticket = selector.begin(kStart, EngineId("engine-0"), asked);
+    EngineQuery engine_query = query();
+    engine_query.background = background;
+    const TicketId ticket = selector.begin(kStart, EngineId("engine-0"), engine_query);
     selector.noteFirstByte(kStart, ticket);
     selector.end(kStart + held, ticket, EngineVerdict::kGood);
   };
--- a/tests/request/exchange/engine_selector_test.cpp
+++ b/tests/request/exchange/engine_selector_test.cpp
@@ -50,7 +50,7 @@
   REQUIRE(chosen.size() == 4);
 }
 
-TEST_CASE("prompts with the same large prefix meet on the same engines at every gateway", "[selector]") {
+TEST_CASE("every gateway sends prompts with the same large prefix to the same engines", "[selector]") {
   std::map<std::uint64_t, std::set<EngineId>> homes;
   for (std::uint64_t gateway = 1; gateway <= 8; ++gateway) {
     EngineSelector selector(gateway);
@@ -64,7 +64,7 @@
   for (const auto& [prefix, at] : homes) REQUIRE(at.size() <= 2);
 }
 
-TEST_CASE("a prefix is read at one engine while that is not loaded, and at one other while it is", "[selector]") {
+TEST_CASE("a prefix goes to its first home engine, and to one other while the first is loaded", "[selector]") {
   for (std::uint64_t prefix = 1; prefix <= 20; ++prefix) {
     std::set<EngineId> idle;
     std::set<EngineId> loaded;
@@ -74,7 +74,7 @@
       const EngineQuery wanted = query(prefix * 1000, 13000);
       const EngineId home = selector.choose(kStart, wanted)->engine.id;
       idle.insert(home);
-      // Prompts of others that take 140 ms to read.
+      // Prompts of peers that take 140 ms to process.
       selector.noteOthers(kStart, {EngineShare{home, 3, 12000, 0}});
       loaded.insert(selector.choose(kStart, wanted)->engine.id);
     }
@@ -99,7 +99,7 @@
   REQUIRE_FALSE(selector.choose(kStart, wanted)->engine.id == home->engine.id);
 }
 
-TEST_CASE("a failing engine leaves the rotation and comes back", "[selector]") {
+TEST_CASE("a failing engine is ejected and returns to rotation", "[selector]") {
   EngineSelector selector(5);
   selector.takeEngines(kStart, wholeListOf(engines(2)));
   const EngineId bad("engine-0");
@@ -153,16 +153,16 @@
     }
     return started;
   };
-  // Seven requests came within the window: a little more than one slot of each engine is kept free.
+  // Seven requests arrived within the window: a little more than one slot of each engine is kept free.
   REQUIRE(fill(0) == 4 + 5);
-  // What presses takes them, and nothing is above the slots.
+  // Urgent work takes these slots, and nothing exceeds the slots.
   REQUIRE(fill(1) == 4);
   REQUIRE(selector.excess(surged, EngineId("engine-0")) == 0);
   selector.begin(surged, EngineId("engine-0"), query());
   REQUIRE(selector.excess(surged, EngineId("engine-0")) == 1);
 }
 
-TEST_CASE("long and short prompts keep apart while there is room", "[selector]") {
+TEST_CASE("long and short prompts go to separate engines while there is room", "[selector]") {
   EngineSelector selector(5);
   selector.takeEngines(kStart, wholeListOf(engines(9)));
   std::set<EngineId> with_long;
@@ -175,13 +175,13 @@
   REQUIRE(with_long.size() == 3);
 }
 
-TEST_CASE("without long prompts no engine is kept apart for them", "[selector]") {
+TEST_CASE("without long prompts no engine is reserved for them", "[selector]") {
   EngineSelector selector(5);
   selector.takeEngines(kStart, wholeListOf(engines(9)));
   std::set<EngineId> with_short;
   for (int i = 0; i < 200; ++i) with_short.insert(selector.choose(kStart, query())->engine.id);
   REQUIRE(with_short.size() == 9);
-  // Some time after the last long prompt its lane is given up.
+  // Some time after the last long prompt its lane is released.
   selector.choose(kStart, query(999, 13000));
   std::set<EngineId> beside;
   for (int i = 0; i < 200; ++i) beside.insert(selector.choose(kStart, query())->engine.id);
@@ -211,7 +211,7 @@
 TEST_CASE("many processes that know the same loads do not all choose the same engine", "[selector]") {
   std::vector<EngineShare> others;
   for (int i = 0; i < 40; ++i) others.push_back(EngineShare{EngineId("engine-" + std::to_string(i)), 9, 0, 0});
-  // One engine has room, and all processes know it.
+  // One engine has room, and all processes know of it.
   others[7].in_flight = 2;
   std::map<EngineId, int> chosen;
   for (std::uint64_t process = 1; process <= 300; ++process) {
@@ -220,19 +220,19 @@
     selector.noteOthers(kStart, others);
     ++chosen[selector.choose(kStart, query())->engine.id];
   }
-  // About fifty choices fall within the time for which they do not know of each other; here are six times as many.
+  // About fifty choices fall within one report interval; 300 processes are six times as many.
   REQUIRE(chosen[EngineId("engine-7")] <= 60);
   REQUIRE(chosen[EngineId("engine-7")] >= 5);
   REQUIRE(chosen.size() >= 38);
 }
 
-TEST_CASE("where loads are told far less often than they change, choices are spread evenly", "[selector]") {
+TEST_CASE("where loads are reported far less often than they change, choices are spread evenly", "[selector]") {
   constexpr int kProcesses = 300;
   std::map<EngineId, int> chosen;
   for (std::uint64_t process = 1; process <= kProcesses; ++process) {
     EngineSelector selector(process);
     selector.takeEngines(kStart, wholeListOf(engines(5)));
-    // Requests hold their slots for 60 ms; loads are told every 100 ms at best.
+    // Requests hold their slots for 60 ms; loads are reported every 100 ms at best.
     for (int i = 0; i < 20; ++i) {
       const TicketId ticket = selector.begin(kStart, EngineId("engine-0"), query());
       selector.noteFirstByte(kStart, ticket);
@@ -263,7 +263,7 @@
   }
 }
 
-TEST_CASE("an engine that is silent for longer than a prompt takes is avoided until it speaks", "[selector]") {
+TEST_CASE("an engine with an overdue first byte is avoided until it answers", "[selector]") {
   EngineSelector selector(5);
   selector.takeEngines(kStart, wholeListOf(engines(2)));
   const TicketId ticket = selector.begin(kStart, EngineId("engine-0"), query());
@@ -275,7 +275,7 @@
   REQUIRE(chosen.size() == 2);
 }
 
-TEST_CASE("an engine that another process finds silent is avoided too", "[selector]") {
+TEST_CASE("an engine with answers overdue at another process is avoided too", "[selector]") {
   EngineSelector first(5);
   EngineSelector second(6);
   first.takeEngines(kStart, wholeListOf(engines(2)));
@@ -306,12 +306,12 @@
   batch.background = true;
   REQUIRE_FALSE(selector.choose(kStart, batch));
   REQUIRE(selector.choose(kStart + std::chrono::seconds(1), batch)->engine.id == failed);
-  // Where no engine is in rotation, half of them are tried all the same.
+  // If no engine is in rotation, half of them are tried all the same.
   selector.end(kStart, selector.begin(kStart, full, query()), EngineVerdict::kFailed);
   REQUIRE(selector.choose(kStart, batch));
 }
 
-TEST_CASE("leaving, excluded and foreign engines are never chosen", "[selector]") {
+TEST_CASE("leaving engines, excluded engines and those of other services are never chosen", "[selector]") {
   EngineSelector selector(7);
   std::vector<EngineRecord> list = engines(3);
   list[0].leaving = true;
@@ -323,7 +323,7 @@
   REQUIRE_FALSE(selector.choose(kStart, excluding));
 }
 
-TEST_CASE("reported load is weighed and grows old", "[selector]") {
+TEST_CASE("reported load counts and decays with age", "[selector]") {
   EngineSelector selector(9);
   selector.takeEngines(kStart, wholeListOf(engines(2)));
   selector.noteLoad(kStart, EngineId("engine-0"), EngineLoad{10, 30, 10});
@@ -333,7 +333,7 @@
   REQUIRE(later.size() == 2);
 }
 
-TEST_CASE("load headers are read whole or not at all", "[selector]") {
+TEST_CASE("malformed load headers are rejected, malformed paces ignored", "[selector]") {
   const auto load = parseEngineLoad("3, 1,8");
   REQUIRE(load);
   REQUIRE(load->running == 3);
@@ -348,7 +348,8 @@
   REQUIRE_FALSE(parseEngineLoad("3"));
 }
 
-TEST_CASE("a new life of an engine has none of the requests and verdicts of the one before", "[selector][life]") {
+TEST_CASE("a new incarnation of an engine has none of the requests and outcomes of the previous one",
+          "[selector][life]") {
   EngineSelector selector(1);
   std::vector<EngineRecord> known = engines(2);
   known[0].born = 100;
@@ -370,7 +371,7 @@
   selector.end(kStart, own, EngineVerdict::kGood);
 }
 
-TEST_CASE("engines of an evacuated zone get nothing until the zone is taken back", "[selector][evacuation]") {
+TEST_CASE("engines of an evacuated zone get no requests until the zone is restored", "[selector][evacuation]") {
   EngineSelector selector(1);
   std::vector<EngineRecord> all = engines(2, "z1");
   std::vector<EngineRecord> others = engines(4, "z2");
@@ -381,14 +382,14 @@
   background.background = true;
   EngineQuery sticky = query(7, 9000);
   for (int i = 0; i < 30; ++i) {
-    for (const EngineQuery& asked : {query(), background, sticky}) {
-      REQUIRE(selector.choose(kStart, asked)->engine.zone == ZoneId("z2"));
+    for (const EngineQuery& engine_query : {query(), background, sticky}) {
+      REQUIRE(selector.choose(kStart, engine_query)->engine.zone == ZoneId("z2"));
     }
   }
-  // What a store placed before it knew.
+  // A store's placement from before it received the evacuation.
   REQUIRE_FALSE(selector.describeChosen(kStart, EngineId("engine-0"), query(), 0, 0));
   REQUIRE(selector.allSlots() == 20);
-  // An engine that registers there meanwhile.
+  // An engine that registers in the evacuated zone.
   all.push_back(engines(9, "z1").back());
   selector.takeEngines(kStart, wholeListOf(all));
   REQUIRE_FALSE(selector.describeChosen(kStart, EngineId("engine-8"), query(), 0, 0));
@@ -405,7 +406,7 @@
 
 namespace {
 
-/// A service whose cold engines bear ten requests a second, and stay cold for three seconds.
+/// A service whose cold engines may get ten requests per second each, and stay cold for three seconds.
 std::map<ServiceId, RoutedService> coldServices() {
   RoutedService service;
   service.id = ServiceId("llm");
@@ -421,22 +422,22 @@
   return limits;
 }
 
-/// Requests that one second of many questions brings to each engine.
-std::map<EngineId, int> chosenInASecond(EngineSelector& selector, Instant from, const EngineQuery& asked) {
+/// Chooses 500 times within a second; returns the number of choices by engine.
+std::map<EngineId, int> chooseForOneSecond(EngineSelector& selector, Instant from, const EngineQuery& engine_query) {
   std::map<EngineId, int> chosen;
   for (int i = 0; i < 500; ++i) {
     const Instant now = from + i * fromMillis(2);
-    const auto choice = selector.choose(now, asked);
+    const auto choice = selector.choose(now, engine_query);
     if (!choice) continue;
     ++chosen[choice->engine.id];
-    selector.end(now, selector.begin(now, choice->engine.id, asked), EngineVerdict::kGood);
+    selector.end(now, selector.begin(now, choice->engine.id, engine_query), EngineVerdict::kGood);
   }
   return chosen;
 }
 
 }  // namespace
 
-TEST_CASE("a zone that comes back cold fills at its bound while warm engines carry the rest", "[selector][cold]") {
+TEST_CASE("cold engines get requests at their rate bound while warm engines serve the rest", "[selector][cold]") {
   EngineSelector selector(1, coldZoneOwner("z1"));
   selector.setServices(coldServices());
   std::vector<EngineRecord> all = engines(4, "z1");
@@ -444,7 +445,7 @@
   std::vector<EngineRecord> warm = engines(6, "z2");
   all.insert(all.end(), warm.begin() + 4, warm.end());
   selector.takeEngines(kStart, wholeListOf(all));
-  const std::map<EngineId, int> cold = chosenInASecond(selector, kStart, query());
+  const std::map<EngineId, int> cold = chooseForOneSecond(selector, kStart, query());
   for (int i = 0; i < 4; ++i) {
     const int count = cold.at(EngineId("engine-" + std::to_string(i)));
     REQUIRE(count >= 8);
@@ -453,19 +454,19 @@
   int all_chosen = 0;
   for (const auto& [engine, count] : cold) all_chosen += count;
   REQUIRE(all_chosen == 500);
-  // Warm again by the clock, or since an engine has told so.
-  const std::map<EngineId, int> later = chosenInASecond(selector, kStart + std::chrono::seconds(6), query());
+  // The cold period has passed.
+  const std::map<EngineId, int> later = chooseForOneSecond(selector, kStart + std::chrono::seconds(6), query());
   REQUIRE(later.at(EngineId("engine-0")) > 50);
 }
 
-TEST_CASE("cold engines are left alone by all processes but one", "[selector][cold]") {
+TEST_CASE("only one process sends to cold engines", "[selector][cold]") {
   std::vector<EngineRecord> all = engines(2, "z1");
   all[0].cold_ms = 5000;
-  const auto choicesOfCold = [&](SelectorLimits limits, EngineQuery asked) {
+  const auto choicesOfCold = [&](SelectorLimits limits, EngineQuery engine_query) {
     EngineSelector selector(1, limits);
     selector.setServices(coldServices());
     selector.takeEngines(kStart, wholeListOf(all));
-    return chosenInASecond(selector, kStart, asked).count(EngineId("engine-0"));
+    return chooseForOneSecond(selector, kStart, engine_query).count(EngineId("engine-0"));
   };
   EngineQuery background = query();
   background.background = true;
@@ -475,14 +476,14 @@
   REQUIRE(choicesOfCold(SelectorLimits(), query()) == 0);
 }
 
-TEST_CASE("engines of a zone that is taken back count as cold until they have told", "[selector][cold]") {
+TEST_CASE("engines of a restored zone count as cold until the cold period has passed", "[selector][cold]") {
   EngineSelector selector(1, coldZoneOwner("z1"));
   selector.setServices(coldServices());
   selector.takeEngines(kStart, wholeListOf(engines(2, "z1")));
   selector.setEvacuated(kStart, {ZoneId("z1")});
   selector.setEvacuated(kStart, {});
-  for (const auto& [engine, count] : chosenInASecond(selector, kStart, query())) REQUIRE(count <= 10);
-  const auto warm = chosenInASecond(selector, kStart + std::chrono::seconds(4), query());
+  for (const auto& [engine, count] : chooseForOneSecond(selector, kStart, query())) REQUIRE(count <= 10);
+  const auto warm = chooseForOneSecond(selector, kStart + std::chrono::seconds(4), query());
   REQUIRE(warm.at(EngineId("engine-0")) > 100);
 }
 
@@ -497,7 +498,7 @@
 
 }  // namespace
 
-TEST_CASE("with free places a choice before many engines looks at a few of its zone", "[selector][scale]") {
+TEST_CASE("while slots are free in a large fleet, a choice examines a few engines of its zone", "[selector][scale]") {
   SelectorLimits limits;
   limits.places_zone = true;
   EngineSelector selector(3, limits);
@@ -505,7 +506,7 @@
   std::map<EngineId, int> chosen;
   for (int i = 0; i < 2000; ++i) {
     const auto choice = selector.choose(kStart, query());
-    REQUIRE(choice->candidates <= limits.drawn_first);
+    REQUIRE(choice->candidates <= limits.sampled_first);
     REQUIRE(choice->engine.zone == ZoneId("z1"));
     selector.begin(kStart, choice->engine.id, query());
     ++chosen[choice->engine.id];
@@ -532,7 +533,7 @@
   }
 }
 
-TEST_CASE("an engine that comes or goes costs itself", "[selector][scale]") {
+TEST_CASE("adding, changing and removing single engines keeps the state of all others", "[selector][scale]") {
   EngineSelector selector(3);
   selector.takeEngines(kStart, wholeListOf(largeFleet(3000)));
   const TicketId ticket = selector.begin(kStart, EngineId("engine-7"), query());
@@ -548,7 +549,7 @@
   REQUIRE(selector.engineCount(ServiceId("llm")) == 4);
 }
 
-TEST_CASE("loads that are told count until the next telling, which names only engines that have some", "[selector]") {
+TEST_CASE("a report of peer loads replaces the previous one, also for engines that it does not name", "[selector]") {
   EngineSelector selector(3);
   selector.takeEngines(kStart, wholeListOf(engines(2)));
   selector.noteOthers(kStart, {EngineShare{EngineId("engine-0"), 10, 0, 0}});
--- a/tests/request/exchange/exchange_parts_test.cpp
+++ b/tests/request/exchange/exchange_parts_test.cpp
@@ -13,7 +13,7 @@
   REQUIRE(shape.parts[0].id == 0x5c1e07a2);
   REQUIRE(shape.sharedTokens() == 1210);
   REQUIRE(shape.prompt_tokens == 1460);
-  REQUIRE(shape.most_tokens_out == 80);
+  REQUIRE(shape.max_output_tokens == 80);
 }
 
 TEST_CASE("malformed prompt headers are left out", "[prompt]") {
@@ -37,7 +37,7 @@
   }
 }
 
-TEST_CASE("a changed split starts anew", "[split]") {
+TEST_CASE("a changed split resets its state", "[split]") {
   Route route;
   route.host = "a.example";
   route.prefix = "/x/";
--- a/tests/request/exchange/load_board_test.cpp
+++ b/tests/request/exchange/load_board_test.cpp
@@ -15,7 +15,7 @@
 }
 }  // namespace
 
-TEST_CASE("the board adds up what all have in flight, by their last reports", "[board]") {
+TEST_CASE("the last reports of all processes are summed", "[board]") {
   LoadBoard board;
   board.report(kStart, "g1", {share("a", 3, 100), share("b", 1, 0)});
   board.report(kStart, "g2", {share("a", 2, 50)});
@@ -25,7 +25,7 @@
   REQUIRE(board.totals() == std::vector<EngineShare>{share("a", 2, 50)});
 }
 
-TEST_CASE("the word of one process against an engine reaches the others", "[board]") {
+TEST_CASE("the avoid time that one process reports appears in the totals until it is withdrawn", "[board]") {
   LoadBoard board;
   EngineShare against = share("a", 1, 0);
   against.avoid_ms = 250;
@@ -36,7 +36,7 @@
   REQUIRE(board.totals().front().avoid_ms == 0);
 }
 
-TEST_CASE("a process that reports no more counts no more", "[board]") {
+TEST_CASE("the last report of a process expires", "[board]") {
   LoadBoard board;
   board.report(kStart, "g1", {share("a", 3, 100)});
   board.report(kStart + fromMillis(900), "g2", {share("a", 2, 50)});
@@ -45,7 +45,7 @@
   REQUIRE(board.totals() == std::vector<EngineShare>{share("a", 2, 50)});
 }
 
-TEST_CASE("sums stay right over many reports that replace each other", "[board]") {
+TEST_CASE("sums stay exact over many reports that replace each other", "[board]") {
   std::mt19937_64 random(7);
   LoadBoard board;
   std::map<std::string, std::vector<EngineShare>> latest;
@@ -61,13 +61,13 @@
     latest[process] = shares;
     board.report(kStart, process, shares);
     std::map<EngineId, EngineShare> expected;
-    for (const auto& [who, held] : latest) {
-      for (const EngineShare& one : held) {
-        EngineShare& sum = expected[one.engine];
-        sum.engine = one.engine;
-        sum.in_flight += one.in_flight;
-        sum.unread_tokens += one.unread_tokens;
-        sum.avoid_ms = std::max(sum.avoid_ms, one.avoid_ms);
+    for (const auto& [process_name, reported] : latest) {
+      for (const EngineShare& share_of_process : reported) {
+        EngineShare& sum = expected[share_of_process.engine];
+        sum.engine = share_of_process.engine;
+        sum.in_flight += share_of_process.in_flight;
+        sum.unread_tokens += share_of_process.unread_tokens;
+        sum.avoid_ms = std::max(sum.avoid_ms, share_of_process.avoid_ms);
       }
     }
     std::vector<EngineShare> list;
@@ -76,7 +76,7 @@
   }
 }
 
-TEST_CASE("a share travels without field names, and a malformed one is an error", "[board]") {
+TEST_CASE("a share is encoded without field names, and a malformed one is an error", "[board]") {
   const EngineShare sent{EngineId("i-7f3a91c2dd"), 3, 4000, 20};
   const std::string bytes = encodeStruct(sent);
   REQUIRE(bytes.size() < 24);
--- a/tests/request/exchange/load_digest_test.cpp
+++ b/tests/request/exchange/load_digest_test.cpp
@@ -20,7 +20,7 @@
   return shares;
 }
 
-/// The engines that a reader's process knows.
+/// Key index of the engines that a reader's process knows.
 EngineKeys keysOf(const std::vector<std::string>& engines) {
   std::vector<EngineRecord> records;
   for (const std::string& engine : engines) records.push_back(EngineRecord{EngineId(engine)});
@@ -31,18 +31,18 @@
 
 }  // namespace
 
-TEST_CASE("a receiver takes its own shares out of the totals", "[digest]") {
+TEST_CASE("a receiver subtracts its own shares from the totals", "[digest]") {
   LoadDigestWriter writer;
   const EngineKeys keys = keysOf({"a", "b", "c"});
   LoadDigestReader reader;
   REQUIRE(reader.take(writer.changes({share("a", 6, 5120), share("b", 1)}), false));
   REQUIRE(sorted(reader.others(keys, {})) == std::vector<EngineShare>{share("a", 6, 5120), share("b", 1)});
   REQUIRE(reader.others(keys, {share("a", 4, 2560), share("b", 1)}) == std::vector<EngineShare>{share("a", 2, 2560)});
-  // Loads that are told late may be less than the own ones.
+  // Delayed totals may be less than the own load.
   REQUIRE(reader.others(keys, {share("a", 9, 9000), share("b", 3)}).empty());
 }
 
-TEST_CASE("the own word against an engine does not come back, that of another does", "[digest]") {
+TEST_CASE("a receiver ignores its own avoid time, but not that of another process", "[digest]") {
   LoadDigestWriter writer;
   const EngineKeys keys = keysOf({"a"});
   LoadDigestReader reader;
@@ -52,7 +52,7 @@
   REQUIRE(reader.others(keys, {share("a", 1)}).front().avoid_ms >= 250);
 }
 
-TEST_CASE("a digest costs what has changed, not what there is", "[digest]") {
+TEST_CASE("the size of a digest grows with the changes, not with the fleet", "[digest]") {
   LoadDigestWriter writer;
   std::vector<EngineShare> totals;
   for (int i = 0; i < 1000; ++i) totals.push_back(share("engine-" + std::to_string(i), 3));
@@ -84,7 +84,7 @@
   }
 }
 
-TEST_CASE("where more changes than a digest may hold, every engine has its turn", "[digest]") {
+TEST_CASE("with more changes than fit in a digest, every engine gets its turn", "[digest]") {
   LoadDigestWriter writer;
   std::vector<std::string> names;
   std::vector<EngineShare> totals;
@@ -95,7 +95,7 @@
   const EngineKeys keys = keysOf(names);
   LoadDigestReader reader;
   for (int step = 0; step < 4; ++step) {
-    // All of them change before each digest.
+    // All loads change before each digest.
     for (EngineShare& total : totals) total.in_flight = 4 + static_cast<std::uint32_t>(step);
     const std::string digest = writer.changes(totals, 25);
     REQUIRE(digest.size() == 25 * kDigestEntryBytes);
@@ -104,10 +104,10 @@
   REQUIRE(reader.others(keys, {}).size() == 100);
   for (int step = 0; step < 4; ++step) REQUIRE(reader.take(writer.changes(totals, 25), false));
   REQUIRE(writer.changes(totals, 25).empty());
-  for (const EngineShare& told : reader.others(keys, {})) REQUIRE(told.in_flight == 7);
+  for (const EngineShare& received : reader.others(keys, {})) REQUIRE(received.in_flight == 7);
 }
 
-TEST_CASE("malformed digests change nothing, and counts beyond their field are told as its greatest", "[digest]") {
+TEST_CASE("malformed digests change nothing, and counts beyond their field are clamped", "[digest]") {
   LoadDigestWriter writer;
   const EngineKeys keys = keysOf({"a"});
   LoadDigestReader reader;
@@ -118,7 +118,7 @@
   REQUIRE(reader.others(keys, {}).size() == 1);
 }
 
-TEST_CASE("engines that come and go are known at once, one at a time", "[digest]") {
+TEST_CASE("the key index follows single changes and whole lists of engines", "[digest]") {
   EngineKeys keys = keysOf({"a", "b"});
   keys.take(EngineChanges{false, {EngineRecord{EngineId("c")}}, {EngineId("a")}});
   REQUIRE(keys.size() == 2);
--- a/tests/request/exchange/stream_position_test.cpp
+++ b/tests/request/exchange/stream_position_test.cpp
@@ -16,7 +16,7 @@
   }
 }
 
-TEST_CASE("events are checked against what the reader had before the first attempt", "[stream]") {
+TEST_CASE("events are checked against the reader's position before the first attempt", "[stream]") {
   StreamPosition position(8);
   REQUIRE(position.last() == 8u);
   REQUIRE(position.take(1, true) == EventPlace::kRepeated);
@@ -30,15 +30,15 @@
   REQUIRE(position.canGoOn());
 }
 
-TEST_CASE("an event without an identifier belongs after the events of its own answer", "[stream]") {
+TEST_CASE("an event without an identifier follows the previous event of its own answer", "[stream]") {
   StreamPosition position(2);
   position.beginAnswer();
   REQUIRE(position.take(std::nullopt, true) == EventPlace::kUnknown);
-  // An engine that repeats what the reader has: what follows on event 1 is event 2, with an identifier or without.
+  // The engine repeats events that the reader has: the event after event 1 is event 2, with or without an identifier.
   REQUIRE(position.take(1, true) == EventPlace::kRepeated);
   REQUIRE(position.take(std::nullopt, true) == EventPlace::kUnknown);
   REQUIRE(position.take(2, true) == EventPlace::kRepeated);
-  SECTION("right after what the reader has") {
+  SECTION("right after the last event that the reader has") {
     REQUIRE(position.take(std::nullopt, true) == EventPlace::kNext);
   }
   SECTION("at the end, as an end mark") {
@@ -51,7 +51,7 @@
   REQUIRE(position.take(std::nullopt, true) == EventPlace::kUnknown);
 }
 
-TEST_CASE("a text without identifiers can't go on elsewhere", "[stream]") {
+TEST_CASE("a text without identifiers cannot be resumed at another engine", "[stream]") {
   StreamPosition position;
   REQUIRE(position.take(std::nullopt, false) == EventPlace::kNext);
   REQUIRE(position.canGoOn());
@@ -71,22 +71,22 @@
 
 }  // namespace
 
-TEST_CASE("engines always close only if many answers had no frame and none had one", "[stream]") {
-  REQUIRE_FALSE(AnswerFraming().closesProve());
+TEST_CASE("engines count as always closing only after many closed answers and none framed", "[stream]") {
+  REQUIRE_FALSE(AnswerFraming().provesByClose());
   AnswerFraming framing = alwaysClosing();
-  REQUIRE(framing.closesProve());
+  REQUIRE(framing.provesByClose());
   framing.note(AnswerEnd::kFramed);
-  REQUIRE_FALSE(framing.closesProve());
+  REQUIRE_FALSE(framing.provesByClose());
 }
 
-TEST_CASE("a close alone proves no text", "[stream]") {
+TEST_CASE("a close alone does not prove that a text is complete", "[stream]") {
   const AnswerFraming framing;
   StreamPosition position;
   position.take(1, true);
   REQUIRE_FALSE(position.mayBeWhole());
   REQUIRE(position.judgeEnd(AnswerEnd::kClosed, framing) == TextEnd::kUnproved);
   REQUIRE(position.mayBeWhole());
-  SECTION("another answer has a frame") {
+  SECTION("another answer is framed") {
     position.take(1, true);
     REQUIRE(position.judgeEnd(AnswerEnd::kFramed, framing) == TextEnd::kWhole);
   }
@@ -103,13 +103,13 @@
     REQUIRE(position.judgeEnd(AnswerEnd::kClosed, framing) == TextEnd::kBroken);
     REQUIRE(position.judgeEnd(AnswerEnd::kFramed, framing) == TextEnd::kWhole);
   }
-  SECTION("the close is known from a run before") {
+  SECTION("the close is known from an earlier run") {
     StreamPosition later(1, /*ended_by_close=*/true);
     REQUIRE(later.judgeEnd(AnswerEnd::kClosed, alwaysClosing()) == TextEnd::kWhole);
   }
 }
 
-TEST_CASE("whatever attempts bring, the reader gets each event once and in order", "[stream][property]") {
+TEST_CASE("for any attempts, the reader gets each event once and in order", "[stream][property]") {
   rc::check([](std::uint8_t had, const std::vector<std::vector<std::uint8_t>>& attempts) {
     StreamPosition position(had);
     std::uint64_t last = had;
--- a/tests/request/exchange/surge_meter_test.cpp
+++ b/tests/request/exchange/surge_meter_test.cpp
@@ -15,13 +15,13 @@
   meter.note(kStart + fromMillis(100), 14);
   meter.note(kStart + fromMillis(200), 30);
   REQUIRE(meter.surge(kStart + fromMillis(200)) == 20);
-  // A slow rise to the same height is none.
+  // A slow rise to a similar height is not a surge.
   SurgeMeter slow;
   for (int i = 0; i <= 20; ++i) slow.note(kStart + fromMillis(200 * i), i);
   REQUIRE(slow.surge(kStart + fromMillis(4000)) <= 2);
 }
 
-TEST_CASE("a surge is forgotten by and by, and a smaller one does not replace it", "[selector]") {
+TEST_CASE("a surge decays over time, and a smaller one does not replace it", "[selector]") {
   SurgeMeter meter;
   meter.note(kStart, 0);
   meter.note(kStart + fromMillis(100), 20);
