--- a/src/request/retry/retry_policy.cpp
+++ b/src/request/retry/retry_policy.cpp
@@ -7,7 +7,7 @@
 namespace hatchfork::request {
 namespace {
 
-constexpr Duration kShortestRetryAfter = fromMillis(250);
+constexpr Duration kMinRetryAfter = fromMillis(250);
 
 }  // namespace
 
@@ -37,22 +37,23 @@
 }
 
 Duration RetryBudget::untilAvailable() const {
-  return std::max(options_.window / 4, kShortestRetryAfter);
+  return std::max(options_.window / 4, kMinRetryAfter);
 }
 
 RetryPolicy::RetryPolicy(RetryOptions options) : options_(options), budget_(options) {}
 
 RetryDecision RetryPolicy::decide(Instant now, const RequestTraits& traits, const AttemptFailure& failure) {
   GiveUp give_up{failure.error};
-  // Only a request of which no attempt can have run may be reported as not run.
+  // A request is reported as not run only if no attempt can have run.
   const bool provably_not_run =
       failure.point == FailurePoint::kNotRun && failure.tokens_relayed == 0 && !failure.maybe_run_before;
   give_up.error.executed = provably_not_run ? Executed::kNo : Executed::kUnknown;
   if (!give_up.error.retry_after) give_up.error.retry_after = budget_.untilAvailable();
-  const bool maybe_run = failure.point != FailurePoint::kNotRun;
-  if (maybe_run && !traits.repeatable) {
+  const bool may_have_run = failure.point != FailurePoint::kNotRun;
+  if (may_have_run && !traits.repeatable) {
     give_up.error.kind = ErrorKind::kOutcomeUnknown;
-    give_up.error.remedy = "the request is marked as unrepeatable and may have run: check its effect before repeating";
+    give_up.error.remedy =
+        "the request is marked as unrepeatable and may have run: check its effect before you repeat it";
     give_up.error.retry_after.reset();
     return give_up;
   }
--- a/src/request/retry/retry_policy.hpp
+++ b/src/request/retry/retry_policy.hpp
@@ -10,24 +10,24 @@
 namespace hatchfork::request {
 
 struct RetryOptions {
-  /// Retries allowed for each first attempt, as a ratio over the recent past. Bounds the load that a large outage adds.
+  /// Retries allowed per first attempt over the recent past. Bounds the load that retries add during a large outage.
   double budget_ratio = 0.2;
-  /// Retries always allowed for each second, so that a quiet service can retry at all.
+  /// Retries always allowed per second, so that a service with little traffic can retry at all.
   double budget_floor_per_second = 3.0;
-  /// Half-life of the recent past.
+  /// Half-life of the request and retry counts.
   Duration window = fromMillis(5000);
-  /// Attempts of one request in all.
+  /// Maximum number of attempts of one request, the first one included.
   std::uint32_t most_attempts = 3;
 };
 
-/// Bounds retries of one service on one traffic thread to a share of its requests.
+/// Limits the retries of one service on one traffic thread to a share of its requests.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryOptions options);
   void recordRequest(Instant now);
-  /// Takes one retry from the budget; false when it is used up.
+  /// Takes one retry from the budget; false if the budget is exhausted.
   bool tryRetry(Instant now);
-  /// Time until the budget allows a retry.
+  /// Returns the time after which the budget is expected to allow a retry.
   Duration untilAvailable() const;
 
  private:
@@ -39,20 +39,20 @@
   bool started_ = false;
 };
 
-/// What is known about a failed attempt.
+/// How far an attempt got before it failed.
 enum class FailurePoint : std::uint8_t {
-  /// No byte of the request was sent, or the engine answered that it did not run it.
+  /// No byte of the request was sent, or the engine answered that it did not run the request.
   kNotRun,
-  /// Sent, but no valid byte of the answer came: it may have been run.
+  /// The request was sent, but no valid byte of the answer arrived: the engine may have run it.
   kNoAnswer,
-  /// The stream broke, was crossed or ended without its end mark after some tokens.
+  /// The stream broke, had events of another answer, or ended without its end mark after some tokens.
   kMidStream,
 };
 
 struct RequestTraits {
-  /// False for requests marked as unrepeatable: run at most once.
+  /// False for requests marked as unrepeatable, which are run at most once.
   bool repeatable = true;
-  /// Engines of the service can resume a stream at a token offset.
+  /// True if engines of the service can resume a stream at a token offset.
   bool resumable = true;
   bool streaming = true;
   std::optional<Instant> deadline;
@@ -60,30 +60,30 @@
 
 struct AttemptFailure {
   FailurePoint point = FailurePoint::kNotRun;
-  /// Tokens already passed on to the caller (streaming) or kept for it (not streaming).
+  /// Tokens already relayed to the caller (streaming) or buffered for it (not streaming).
   std::uint32_t tokens_relayed = 0;
-  /// An earlier attempt of the same request may have run.
+  /// True if an earlier attempt of the same request may have run.
   bool maybe_run_before = false;
-  /// Attempts made so far, this one included.
+  /// Number of attempts so far, this one included.
   std::uint32_t attempts = 1;
-  /// Cause, for the final answer.
+  /// Cause of the failure, for the final answer.
   Error error;
 };
 
-/// Run the request again from the first token, on another engine.
+/// Runs the request again from the first token, on another engine.
 struct Retry {};
-/// Continue it on another engine at exactly this token offset.
+/// Continues the request on another engine at exactly this token offset.
 struct Resume {
   std::uint32_t from_token = 0;
 };
-/// Answer the caller now with `error`; nothing further is tried. `error.executed` is `kNo` only when provable.
+/// Answers the caller with `error`, without further attempts. `error.executed` is `kNo` only if that is certain.
 struct GiveUp {
   Error error;
 };
 using RetryDecision = std::variant<Retry, Resume, GiveUp>;
 
-/// Decides at once, without waiting: there is no backoff inside a request, a caller that is refused is told when to
-/// come back instead.
+/// Decides how to proceed after a failed attempt. There is no backoff within a request: a rejected caller receives a
+/// retry time instead.
 class RetryPolicy {
  public:
   explicit RetryPolicy(RetryOptions options);
--- a/tests/request/retry/retry_policy_test.cpp
+++ b/tests/request/retry/retry_policy_test.cpp
@@ -17,7 +17,7 @@
   return failure;
 }
 
-TEST_CASE("an unrepeatable request is tried again only when it provably did not run", "[retry]") {
+TEST_CASE("an unrepeatable request is retried only if it certainly did not run", "[retry]") {
   RetryPolicy policy(RetryOptions{});
   RequestTraits traits;
   traits.repeatable = false;
@@ -30,7 +30,7 @@
   }
 }
 
-TEST_CASE("a broken stream resumes at the exact offset or ends, never from the start", "[retry]") {
+TEST_CASE("a broken stream resumes at the exact offset or ends, and never restarts", "[retry]") {
   RetryPolicy policy(RetryOptions{});
   RequestTraits traits;
   const RetryDecision resumed = policy.decide(at(0), traits, makeFailure(FailurePoint::kMidStream, 17));
@@ -43,7 +43,7 @@
   CHECK(std::holds_alternative<Retry>(policy.decide(at(0), traits, makeFailure(FailurePoint::kNoAnswer, 0))));
 }
 
-TEST_CASE("a request given up on is called not run only when no attempt can have run", "[retry]") {
+TEST_CASE("a failed request is reported as not run only if no attempt can have run", "[retry]") {
   RetryPolicy policy(RetryOptions{});
   AttemptFailure failure = makeFailure(FailurePoint::kNotRun, 0);
   failure.attempts = 3;
