--- a/src/request/routing/load_report.hpp
+++ b/src/request/routing/load_report.hpp
@@ -7,20 +7,20 @@
 
 namespace hatchfork::request {
 
-/// An engine's own account of its load (`GET /load`). Late by design, and possibly wrong: a hint, never a promise.
+/// Load that an engine reports about itself (`GET /load`). Reports lag behind and may be wrong: they are hints.
 struct LoadReport {
-  /// Requests that hold a slot, of both classes.
+  /// Online and batch requests that hold a slot.
   std::uint32_t running = 0;
-  /// Requests that wait for a slot, of both classes.
+  /// Online and batch requests that wait for a slot.
   std::uint32_t queued = 0;
   std::uint32_t online_running = 0;
   std::uint32_t online_queued = 0;
   std::uint32_t batch_running = 0;
   std::uint32_t slots = 0;
   std::uint32_t cache_blocks = 0;
-  /// The engine preempts running batch work for online work by itself.
+  /// True if the engine itself preempts running batch work for online work.
   bool preempts_batch = false;
-  /// The engine is leaving: it must get no new work.
+  /// True if the engine is leaving and must get no new work.
   bool draining = false;
   std::string model;
   std::string version;
@@ -31,7 +31,8 @@
                                                 batch_running, slots, cache_blocks, preempts_batch, draining, model,
                                                 version, adapters)
 
-/// One prompt block that entered or left an engine's prefix cache (`GET /events`). Late and gappy.
+/// A prompt block that was added to or evicted from an engine's prefix cache (`GET /events`). Events arrive late, and
+/// some are lost.
 struct CacheEvent {
   std::uint64_t sequence = 0;
   std::uint64_t block = 0;
--- a/src/request/routing/others_load.hpp
+++ b/src/request/routing/others_load.hpp
@@ -9,25 +9,25 @@
 namespace hatchfork::request {
 
 struct OthersLoadOptions {
-  /// Typical age of the load that a report shows when it arrives.
+  /// Typical age of a reported load on arrival.
   Duration report_age = fromMillis(600);
-  /// Time over which reported and own load are averaged.
+  /// Time constant over which the reported and the own load are averaged.
   Duration averaging_time = fromMillis(2000);
-  /// Without a report for this long nothing is known of others.
+  /// Time after the last report from which on the peer load counts as unknown.
   Duration report_lifetime = fromMillis(3000);
 };
 
-/// Estimates how many online requests other gateways have at an engine, from its late reports and from what this
-/// gateway itself had there. A single report says little: it describes requests that have long ended, and the own ones
-/// among them are not marked. So both are averaged, the own load as it was when the report was true, and only the
-/// steady difference counts. One engine, one traffic thread.
+/// Estimates the online requests that peer gateways have at one engine, from the engine's delayed reports and this
+/// gateway's own load. A single report says little: it includes requests that have ended since, and does not
+/// distinguish own requests from those of peers. Therefore the difference between the reported load and the own load at
+/// the time of the report is averaged, so that only a lasting difference counts. Not thread-safe.
 class OthersLoad {
  public:
   explicit OthersLoad(OthersLoadOptions options = {}) : options_(options) {}
 
-  /// `reported`: online requests running or queued at the engine; `own`: this gateway's in flight now.
+  /// `reported`: online requests running or queued at the engine; `own`: current online requests of this gateway there.
   void recordReport(Instant now, std::uint32_t reported, std::uint32_t own);
-  /// Others' online requests; zero when nothing is known.
+  /// Estimated online requests of peers; zero if unknown.
   double estimate(Instant now) const;
 
  private:
@@ -35,12 +35,12 @@
     Instant at;
     std::uint32_t in_flight = 0;
   };
-  /// The own load at about the time that a report of `now` describes.
-  std::uint32_t ownThen(Instant now);
+  /// Own load at about the time that a report received at `now` describes.
+  std::uint32_t ownLoadAtReport(Instant now);
 
   OthersLoadOptions options_;
-  std::deque<OwnSample> own_;
-  double average_ = 0;
+  std::deque<OwnSample> own_samples_;
+  double mean_peer_load_ = 0;
   std::optional<Instant> reported_at_;
 };
 
--- a/src/request/routing/outlier_detector.cpp
+++ b/src/request/routing/outlier_detector.cpp
@@ -18,22 +18,22 @@
   const auto found = records_.find(engine);
   if (found == records_.end()) return;
   Record& record = found->second;
-  record.failures_in_row = 0;
-  const bool fully_back = !record.ejected_until || now >= *record.ejected_until + options_.return_time;
-  if (fully_back) records_.erase(found);
+  record.consecutive_failures = 0;
+  const bool is_fully_returned = !record.ejected_until || now >= *record.ejected_until + options_.return_time;
+  if (is_fully_returned) records_.erase(found);
 }
 
 void OutlierDetector::recordFailure(Instant now, const EngineId& engine) {
   Record& record = records_[engine];
   if (record.ejected_until && now < *record.ejected_until) return;
-  ++record.failures_in_row;
-  // During its return an engine is on probation: one failure sends it out again.
+  ++record.consecutive_failures;
+  // While an engine returns it is on probation: a single failure ejects it again.
   const bool on_probation = record.ejected_until && now < *record.ejected_until + options_.return_time;
   const std::uint32_t needed = on_probation ? 1 : options_.failures_to_eject;
-  if (record.failures_in_row < needed || ejectedCount(now) >= mostEjected()) return;
+  if (record.consecutive_failures < needed || ejectedCount(now) >= maxEjected()) return;
   const std::uint32_t doublings = std::min<std::uint32_t>(record.ejections, 16);
-  record.ejected_until = now + std::min(options_.ejection * (1 << doublings), options_.longest_ejection);
-  record.failures_in_row = 0;
+  record.ejected_until = now + std::min(options_.ejection * (1 << doublings), options_.max_ejection);
+  record.consecutive_failures = 0;
   ++record.ejections;
 }
 
@@ -67,9 +67,9 @@
   }));
 }
 
-std::size_t OutlierDetector::mostEjected() const {
+std::size_t OutlierDetector::maxEjected() const {
   if (fleet_size_ < 2) return 0;
-  return std::max<std::size_t>(fleet_size_ * options_.most_ejected_percent / 100, 1);
+  return std::max<std::size_t>(fleet_size_ * options_.max_ejected_percent / 100, 1);
 }
 
 }  // namespace hatchfork::request
--- a/src/request/routing/ownership.cpp
+++ b/src/request/routing/ownership.cpp
@@ -26,8 +26,8 @@
   std::size_t owned = 0;
 };
 
-/// Gateways in order of their names, so that the order in the fleet does not matter.
-std::vector<GatewayShare> sortedShares(const ServiceFleet& fleet) {
+/// Gateways in order of their names, so that the result does not depend on the order in the fleet.
+std::vector<GatewayShare> gatewaysByName(const ServiceFleet& fleet) {
   std::vector<GatewayShare> shares;
   shares.reserve(fleet.gateways.size());
   for (const LiveGateway& gateway : fleet.gateways) shares.push_back({hashName(gateway.id.value), &gateway, 0});
@@ -36,7 +36,7 @@
   return shares;
 }
 
-/// The heaviest gateway with room left, of the engine's zone if there is one.
+/// Returns the gateway with the greatest weight that is below the quota; gateways of the engine's zone come first.
 GatewayShare* chooseOwner(std::vector<GatewayShare>& shares, const FleetEngine& engine, std::size_t quota) {
   const std::uint64_t engine_hash = hashName(engine.id.value);
   GatewayShare* best = nullptr;
@@ -68,8 +68,8 @@
   std::uint64_t weight = 0;
 };
 
-std::vector<WeightedEngine> othersByPreference(const ServiceFleet& fleet, const GatewayId& self, const ZoneId& zone,
-                                               const std::vector<std::size_t>& owned) {
+std::vector<WeightedEngine> unownedByPreference(const ServiceFleet& fleet, const GatewayId& self, const ZoneId& zone,
+                                                const std::vector<std::size_t>& owned) {
   std::vector<bool> taken(fleet.engines.size(), false);
   for (const std::size_t position : owned) taken[position] = true;
   std::vector<WeightedEngine> others;
@@ -91,7 +91,7 @@
 
 std::vector<std::size_t> ownedEngines(const ServiceFleet& fleet, const GatewayId& self) {
   std::vector<std::size_t> owned;
-  std::vector<GatewayShare> shares = sortedShares(fleet);
+  std::vector<GatewayShare> shares = gatewaysByName(fleet);
   if (shares.empty()) return owned;
   const std::size_t quota = (fleet.engines.size() + shares.size() - 1) / shares.size();
   for (const std::size_t position : positionsByName(fleet)) {
@@ -105,20 +105,20 @@
 std::vector<std::size_t> routingSubset(const ServiceFleet& fleet, const GatewayId& self, const ZoneId& zone,
                                        std::size_t size) {
   std::vector<std::size_t> subset = ownedEngines(fleet, self);
-  const std::vector<WeightedEngine> others = othersByPreference(fleet, self, zone, subset);
+  const std::vector<WeightedEngine> others = unownedByPreference(fleet, self, zone, subset);
   const std::size_t left = size > subset.size() ? size - subset.size() : 0;
-  // A third of the remaining places goes to other zones, so that the loss of the own zone leaves engines known.
-  std::size_t far_places = (left + 2) / 3;
-  std::size_t near_places = left - far_places;
+  // A third of the remaining slots goes to other zones, so that engines remain after the loss of the own zone.
+  std::size_t far_slots = (left + 2) / 3;
+  std::size_t near_slots = left - far_slots;
   const auto near_count = static_cast<std::size_t>(
       std::count_if(others.begin(), others.end(), [](const WeightedEngine& other) { return other.own_zone; }));
   const std::size_t far_count = others.size() - near_count;
-  if (near_count < near_places) far_places += near_places - near_count;
-  if (far_count < far_places) near_places += far_places - far_count;
+  if (near_count < near_slots) far_slots += near_slots - near_count;
+  if (far_count < far_slots) near_slots += far_slots - far_count;
   for (const WeightedEngine& other : others) {
-    std::size_t& places = other.own_zone ? near_places : far_places;
-    if (places == 0) continue;
-    --places;
+    std::size_t& slots = other.own_zone ? near_slots : far_slots;
+    if (slots == 0) continue;
+    --slots;
     subset.push_back(other.position);
   }
   return subset;
--- a/src/request/routing/prefix_index.cpp
+++ b/src/request/routing/prefix_index.cpp
@@ -7,15 +7,15 @@
 namespace hatchfork::request {
 namespace {
 
-/// Engines remembered for one block; the oldest is forgotten first.
-constexpr std::size_t kHoldersPerBlock = 8;
+/// Engines stored per block; the oldest is evicted first.
+constexpr std::size_t kMaxHoldersPerBlock = 8;
 constexpr std::size_t kCharactersPerToken = kPromptBlockCharacters / kPromptBlockTokens;
 
 }  // namespace
 
 std::vector<std::uint64_t> hashPromptBlocks(std::string_view prompt) {
   std::vector<std::uint64_t> blocks;
-  const std::size_t whole = std::min(prompt.size() / kPromptBlockCharacters, kMostPromptBlocks);
+  const std::size_t whole = std::min(prompt.size() / kPromptBlockCharacters, kMaxPromptBlocks);
   std::uint64_t previous = 0;
   for (std::size_t index = 0; index < whole; ++index) {
     const std::string_view block = prompt.substr(index * kPromptBlockCharacters, kPromptBlockCharacters);
@@ -41,7 +41,7 @@
     touch(found->second);
     std::vector<EngineSlot>& holders = found->second.holders;
     std::erase(holders, engine);
-    if (holders.size() >= kHoldersPerBlock) holders.erase(holders.begin());
+    if (holders.size() >= kMaxHoldersPerBlock) holders.erase(holders.begin());
     holders.push_back(engine);
     return;
   }
@@ -70,7 +70,7 @@
 }
 
 std::uint32_t PrefixIndex::matchLength(const std::vector<std::uint64_t>& blocks, EngineSlot engine) const {
-  // Chained hashes: an engine that holds a block once held all before it, so the length can be found by halving.
+  // Hashes are chained: an engine that holds a block held all blocks before it, so binary search finds the length.
   std::size_t low = 0;
   std::size_t high = blocks.size();
   while (low < high) {
--- a/src/request/routing/prefix_index.hpp
+++ b/src/request/routing/prefix_index.hpp
@@ -9,20 +9,21 @@
 
 namespace hatchfork::request {
 
-/// Characters of prompt text in one block; about 64 tokens.
+/// Characters of prompt text per block; about 64 tokens.
 constexpr std::size_t kPromptBlockCharacters = 256;
-/// Tokens of one block.
 constexpr std::uint32_t kPromptBlockTokens = 64;
-/// Blocks beyond this one do not influence routing.
-constexpr std::size_t kMostPromptBlocks = 64;
+/// Number of leading blocks that influence routing.
+constexpr std::size_t kMaxPromptBlocks = 64;
 
-/// Hashes whole blocks of the prompt, each chained to the one before, so that equal hashes mean equal prefixes.
+/// Hashes the complete blocks of the prompt. Each hash includes the previous one, so that equal hashes mean equal
+/// prefixes.
 std::vector<std::uint64_t> hashPromptBlocks(std::string_view prompt);
-/// Tokens of a prompt, roughly.
+/// Estimates the number of tokens of a prompt from its length.
 std::uint32_t estimatePromptTokens(std::string_view prompt);
 
-/// Remembers which engines probably hold which prompt blocks, from own dispatches and late cache events. Bounded: the
-/// least recently used blocks are forgotten. Hints only; a wrong one costs a cache miss. One traffic thread.
+/// LRU index of the engines that probably have a prompt block in their caches, built from own dispatches and delayed
+/// cache events. Evicts the least recently stored blocks. Entries are hints; a wrong one costs a cache miss. Not
+/// thread-safe.
 class PrefixIndex {
  public:
   using EngineSlot = std::uint32_t;
@@ -30,9 +31,9 @@
 
   void store(std::uint64_t block, EngineSlot engine);
   void remove(std::uint64_t block, EngineSlot engine);
-  /// True when the engine is believed to hold the block.
+  /// True if the engine is believed to have the block.
   bool holds(std::uint64_t block, EngineSlot engine) const;
-  /// Leading blocks of the prompt that the engine is believed to hold.
+  /// Number of leading blocks of the prompt that the engine is believed to have.
   std::uint32_t matchLength(const std::vector<std::uint64_t>& blocks, EngineSlot engine) const;
   void clear();
 
--- a/src/request/routing/prompt_text.hpp
+++ b/src/request/routing/prompt_text.hpp
@@ -7,8 +7,8 @@
 
 namespace hatchfork::request {
 
-/// The prompt of a completion request as one text: `prompt`, or role and content of each of `messages`. Gateways hash
-/// it for prefix affinity, engines cache it. A body without either is `kInvalidArgument`.
+/// Returns the prompt of a completion request as one text: `prompt`, or role and content of each of `messages`.
+/// Gateways hash the text for prefix affinity, engines cache it. A body without either is `kInvalidArgument`.
 Result<std::string> promptText(const nlohmann::json& body);
 
 }  // namespace hatchfork::request
--- a/src/request/routing/router.cpp
+++ b/src/request/routing/router.cpp
@@ -26,7 +26,7 @@
 
 Router::EngineRecord Router::makeRecord(const FleetEngine& engine) const {
   AdaptiveConcurrencyOptions concurrency = options_.concurrency;
-  concurrency.highest = options_.refuse_load * engine.slots;
+  concurrency.highest = options_.reject_load * engine.slots;
   concurrency.initial = concurrency.highest;
   concurrency.lowest = std::max(1.0, engine.slots / 4.0);
   return EngineRecord{engine,
@@ -58,7 +58,7 @@
     subset_ids_.push_back(engine.id);
     records_.push_back(std::move(record));
   }
-  // Cache hints name positions in the subset: they are void when these move.
+  // Cache hints refer to positions in the subset, so they are invalid if these change.
   if (subset_ids_ != old_ids) prefixes_.clear();
   for (const EngineId& id : old_ids) {
     if (!slots_.contains(id)) outliers_.forget(id);
@@ -91,7 +91,7 @@
   collectCandidates(now, request);
   std::optional<Candidate> chosen = pick(options_.spill_load, true);
   if (!chosen) chosen = pick(options_.spill_load, false);
-  if (!chosen) chosen = pick(options_.refuse_load, false);
+  if (!chosen) chosen = pick(options_.reject_load, false);
   if (!chosen) return refusal(now);
   const EngineRecord& record = records_[chosen->slot];
   return RouteChoice{record.engine.id, record.own_zone, chosen->cached_blocks};
@@ -133,14 +133,14 @@
 
 void Router::collectCandidates(Instant now, const RouteRequest& request) {
   candidates_.clear();
-  any_at_limit_ = false;
+  skipped_at_limit_ = false;
   for (Slot slot = 0; slot < records_.size(); ++slot) {
     const EngineRecord& record = records_[slot];
     if (!accepts(now, record, request)) continue;
     if (record.concurrency.mayStart(record.online_in_flight)) {
       candidates_.push_back(judge(now, slot, request));
     } else {
-      any_at_limit_ = true;
+      skipped_at_limit_ = true;
     }
   }
 }
@@ -169,7 +169,7 @@
 }
 
 Error Router::refusal(Instant now) const {
-  if (!candidates_.empty() || any_at_limit_) {
+  if (!candidates_.empty() || skipped_at_limit_) {
     return refused(ErrorKind::kOverloaded, "every engine of the service is full", "retry later", kRetryAfterOverload);
   }
   const Duration wait = outliers_.nextReturn(now).value_or(kRetryAfterNoEngine);
--- a/src/request/routing/service_fleet.hpp
+++ b/src/request/routing/service_fleet.hpp
@@ -9,29 +9,29 @@
 
 namespace hatchfork::request {
 
-/// One engine of a service as the configuration and the platform list describe it.
+/// An engine of a service as described by the configuration and the platform list.
 struct FleetEngine {
   EngineId id;
   ZoneId zone;
-  /// Requests it can run at once.
+  /// Number of requests that the engine can run at once.
   std::uint32_t slots = 0;
-  /// The operator drains it (`EngineIntent::kDrain`). Each of the leaving marks suffices alone.
+  /// True if the operator drains the engine (`EngineIntent::kDrain`). Each of the leaving marks suffices alone.
   bool drained_by_operator = false;
-  /// The platform list names its machine as leaving or no longer names it.
+  /// True if the platform list marks the engine's machine as leaving or does not name it any more.
   bool leaving_platform = false;
 };
 
-/// A gateway that is alive according to control.
+/// A gateway that the control service reports as alive.
 struct LiveGateway {
   GatewayId id;
   ZoneId zone;
 };
 
-/// Immutable view of one service: what routing decides on. Built by the control thread, shared with traffic threads.
+/// Immutable view of one service for routing decisions. Built by the control thread, shared with traffic threads.
 struct ServiceFleet {
   ServiceId service;
   std::vector<FleetEngine> engines;
-  /// Includes this gateway. Decides the routing subset and the owner of batch work on each engine.
+  /// Live gateways, this one included. They determine the routing subset and the owner of batch work on each engine.
   std::vector<LiveGateway> gateways;
 };
 
--- a/tests/request/routing/others_load_test.cpp
+++ b/tests/request/routing/others_load_test.cpp
@@ -11,27 +11,27 @@
   return Instant(fromMillis(milliseconds));
 }
 
-TEST_CASE("own requests in a late report are not taken for others'", "[router][lag]") {
+TEST_CASE("own requests in a delayed report do not count as peer load", "[router][lag]") {
   OthersLoad load;
   std::vector<std::uint32_t> own;
   for (int index = 0; index < 200; ++index) own.push_back(index / 10 % 2 == 0 ? 2 : 12);
   double most = 0;
   for (int index = 2; index < 200; ++index) {
-    // Each report is half a second old: two polls.
+    // Each report is half a second old, which is two polls.
     load.recordReport(at(index * 250), own[index - 2], own[index]);
     most = std::max(most, load.estimate(at(index * 250)));
   }
   CHECK(most < 2);
 }
 
-TEST_CASE("a steady load of others shows beside the own one and is forgotten with the reports", "[router][lag]") {
+TEST_CASE("a steady peer load is estimated beside the own load and expires with the reports", "[router][lag]") {
   OthersLoad load;
   for (int index = 0; index < 40; ++index) load.recordReport(at(index * 250), 6 + 4, 4);
   CHECK(load.estimate(at(9750)) == Approx(6).margin(0.1));
   CHECK(load.estimate(at(9750 + 3001)) == 0);
 }
 
-TEST_CASE("a burst that is over does not keep its engine out of the choice", "[router][lag]") {
+TEST_CASE("a burst that has ended does not exclude its engine from the choice", "[router][lag]") {
   ServiceFleet fleet;
   fleet.engines = {{EngineId("busy"), ZoneId("zone"), 8, false, false}};
   fleet.gateways = {{GatewayId("gateway"), ZoneId("zone")}};
@@ -50,7 +50,7 @@
   router.applyLoadReport(at(500), EngineId("busy"), report);
   for (RoutedAttempt& attempt : attempts) router.endAttempt(at(700), attempt, AttemptResult::kSucceeded);
   router.applyLoadReport(at(750), EngineId("busy"), report);
-  // The report still shows the requests that have ended here.
+  // The report still includes the requests that have ended.
   for (int index = 0; index < 14; ++index) {
     CHECK(isOk(router.choose(at(800), {})));
     router.beginAttempt(at(800), EngineId("busy"), Urgency::kOnline, {});
--- a/tests/request/routing/router_test.cpp
+++ b/tests/request/routing/router_test.cpp
@@ -47,7 +47,7 @@
   return valueOf(choice);
 }
 
-TEST_CASE("requests stay in the zone while it has room and spill over when it is full", "[router]") {
+TEST_CASE("requests stay in their zone while it has capacity and spill over when it is full", "[router]") {
   Router router = makeRouter(makeFleet(6, 3, 1));
   int local = 0;
   int attempts = 0;
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("a zone that is lost leaves engines of other zones in the subset", "[router][zone-loss]") {
+TEST_CASE("the subset contains engines of other zones for the loss of the own zone", "[router][zone-loss]") {
   ServiceFleet fleet = makeFleet(90, 3, 9);
   Router router = makeRouter(fleet);
   CHECK(router.subset().size() == makeOptions().subset_size);
@@ -99,7 +99,7 @@
   CHECK_FALSE(chosen(router, at(20)).in_own_zone);
 }
 
-TEST_CASE("shared prefixes go to the engine that holds them, within the load bound", "[router][affinity]") {
+TEST_CASE("shared prefixes go to the engine that has them cached, within the load bound", "[router][affinity]") {
   Router router = makeRouter(makeFleet(8, 1, 1));
   RouteRequest request;
   request.prompt_blocks = hashPromptBlocks(std::string(2000, 'a') + std::string(500, 'b'));
@@ -119,7 +119,7 @@
   CHECK(chosen(router, at(600), request).cached_blocks == 0);
 }
 
-TEST_CASE("others' work shows through load reports until they are old", "[router]") {
+TEST_CASE("peer load from load reports counts until the reports expire", "[router]") {
   const ServiceFleet fleet = makeFleet(2, 1, 1);
   Router router = makeRouter(fleet);
   LoadReport busy;
@@ -154,7 +154,8 @@
   CHECK(detector.isEjected(at(3000 + 3999), first));
 }
 
-TEST_CASE("every engine has exactly one batch owner, spread evenly, whatever the order of the view", "[ownership]") {
+TEST_CASE("every engine has exactly one batch owner, spread evenly, independent of the order of the view",
+          "[ownership]") {
   ServiceFleet fleet = makeFleet(20, 3, 3);
   ServiceFleet reversed = fleet;
   std::reverse(reversed.engines.begin(), reversed.engines.end());
