--- a/src/process/store/crash_relay.hpp
+++ b/src/process/store/crash_relay.hpp
@@ -10,15 +10,15 @@
 
 namespace hatchfork::store {
 
-/// Passes on what processes see of requests that end engines: to the processes that asked this store, and, where it was
-/// told here first, to the aggregators of all zones, which do the same for theirs. Every store asks one of those
-/// itself.
+/// Forwards crash notes, the observations of processes about requests that crash engines: to the processes that
+/// subscribed at this store, and, for notes that were first reported here, to the aggregators of all zones, which
+/// forward them to their own subscribers. Every store subscribes at one of these aggregators itself.
 ///
-/// Cost: news of one interval of `flush` go out together, encoded once for all receivers; without suspects a message of
-/// some 20 bytes a second for each process. No I/O, no clock. Belongs to one thread.
+/// Cost: the notes of one interval of `flush` are sent together, encoded once for all receivers; without suspects a
+/// message of some 20 bytes a second for each process. No I/O, no clock. Not thread-safe.
 class CrashRelay {
  public:
-  /// Where a process is reached that asked to be told.
+  /// Connection to a process that subscribed here.
   struct Receiver {
     const void* connection = nullptr;
     std::function<void(const std::string& frame)> send;
@@ -28,43 +28,47 @@
 
   CrashRelay(fleet::CrashWatch& watch, SendFunction send) : watch_(watch), send_(std::move(send)) {}
 
-  /// Called when there is something to be passed on; `flush` is then to be called within some milliseconds.
+  /// The handler is called when there are notes to forward; `flush` should then be called within a few milliseconds.
   void setNewsHandler(std::function<void()> on_news) { on_news_ = std::move(on_news); }
 
-  /// The aggregators of all zones, this store left out.
-  void setHubs(std::vector<ReplicaId> hubs) { hubs_ = std::move(hubs); }
+  /// Sets the aggregators of all zones, without this store.
+  void setHubs(std::vector<ReplicaId> aggregators) { aggregators_ = std::move(aggregators); }
+  /// Takes notes or a hello from a process. A hello subscribes the sender; if its digest differs from the one here, it
+  /// is sent all that is recorded here and requested to do the same.
   void take(Instant now, const fleet::CrashNotesFrame& notes, const Receiver& from);
-  /// What a store tells that was asked from here.
+  /// Takes notes from the aggregator at which this store is subscribed.
   void takeAnswer(Instant now, const fleet::CrashNotesFrame& notes);
-  /// What the group keeps.
-  void takeKept(Instant now, const fleet::CrashNotesFrame& notes) { keep(watch_.take(now, notes), told_by_hubs_); }
-  /// Passes on what was told here and what this store itself has seen since the last call.
+  /// Takes the crashes that are stored in the group's replicated log.
+  void takeKept(Instant now, const fleet::CrashNotesFrame& notes) { addNotes(watch_.take(now, notes), relayed_notes_); }
+  /// Forwards the notes that were received here and those of this store itself since the last call.
   void flush();
   void drop(const void* connection) { receivers_.erase(connection); }
-  /// Asks to be told, and forgets processes that ask no more; call about once a second.
+  /// Renews the subscription at an aggregator and drops subscribers whose hellos have stopped; call about once a
+  /// second.
   void tick(Instant now);
   std::size_t receivers() const { return receivers_.size(); }
 
  private:
-  struct Listener {
+  struct Subscriber {
     Receiver receiver;
-    Instant heard_at{};
+    Instant last_hello_at{};
   };
 
-  /// Keeps what a process has told for the next `flush`.
-  void keep(const fleet::CrashNotesFrame& notes, fleet::CrashNotesFrame& kept);
-  void sendToListeners(const fleet::CrashNotesFrame& notes);
+  /// Adds notes to `pending`, which the next `flush` sends.
+  void addNotes(const fleet::CrashNotesFrame& notes, fleet::CrashNotesFrame& pending);
+  void sendToSubscribers(const fleet::CrashNotesFrame& notes);
 
   fleet::CrashWatch& watch_;
   SendFunction send_;
   std::function<void()> on_news_;
-  std::vector<ReplicaId> hubs_;
-  /// To be passed on: what processes told here, also to other aggregators; what those told, only to processes.
-  fleet::CrashNotesFrame told_here_;
-  fleet::CrashNotesFrame told_by_hubs_;
-  /// The one that tells this store what becomes known.
-  ReplicaId asked_;
-  std::map<const void*, Listener> receivers_;
+  std::vector<ReplicaId> aggregators_;
+  /// Notes to forward: those that processes reported here go to the other aggregators too, those that came from other
+  /// aggregators only to subscribed processes.
+  fleet::CrashNotesFrame local_notes_;
+  fleet::CrashNotesFrame relayed_notes_;
+  /// Aggregator at which this store is subscribed.
+  ReplicaId upstream_;
+  std::map<const void*, Subscriber> receivers_;
 };
 
 }  // namespace hatchfork::store
--- a/src/process/store/item_runner.cpp
+++ b/src/process/store/item_runner.cpp
@@ -21,28 +21,28 @@
 
 namespace {
 
-/// Time that an engine is given for one run.
+/// Remaining time that is sent to the engine with each run.
 constexpr Duration kRunTime = std::chrono::seconds(30);
-/// A run without its first event for this long is broken off.
+/// A run without its first event for this long is aborted.
 constexpr Duration kFirstEventTimeout = std::chrono::seconds(6);
-/// A run without a further event for this long is broken off.
+/// A run without a further event for this long is aborted.
 constexpr Duration kNextEventTimeout = std::chrono::seconds(3);
-/// Without a sign of life of a leader for this long, nobody is known to want what runs here. Longer than most changes
-/// of leader take, shorter than the time within which the runs of an ended job must stop.
-constexpr Duration kLease = fromMillis(2500);
-/// Runs that ended within this time are offered to a new leader: its predecessor may not have listed their results.
-constexpr Duration kEndedKept = std::chrono::seconds(8);
-/// An answer that no leader has kept for this long belongs to a job that is forgotten.
-constexpr Duration kAnswerKept = std::chrono::minutes(10);
-/// Most answers that wait to be kept; the oldest give way. A few hundred bytes each.
-constexpr std::size_t kMostAnswers = 5000;
-/// Most answers of one report; the others follow once these are kept.
-constexpr std::size_t kMostAnswersTold = 200;
+/// Runs are aborted after this long without a heartbeat of a leader, since no leader may still need them. Longer than
+/// most changes of leader take, shorter than the time within which the runs of an ended job must stop.
+constexpr Duration kLeaseDuration = fromMillis(2500);
+/// Runs that ended within this time are offered to a new leader, whose predecessor may not have listed their results.
+constexpr Duration kEndedRunRetention = std::chrono::seconds(8);
+/// An answer that no leader has confirmed for this long belongs to a job that was dropped.
+constexpr Duration kAnswerRetention = std::chrono::minutes(10);
+/// Maximum number of unconfirmed answers, of a few hundred bytes each; beyond it the oldest are dropped.
+constexpr std::size_t kMaxAnswers = 5000;
+/// Maximum number of answers in one report; the others follow once these are confirmed.
+constexpr std::size_t kMaxAnswersPerReport = 200;
 constexpr Duration kReportInterval = fromMillis(200);
-/// A new leader is told for this long even that there is nothing to tell: it waits to hear each store.
-constexpr Duration kReportsToNewLeader = fromMillis(1500);
-/// First events and ends are reported at once, together with others of the same moment.
-constexpr Duration kReportSoon = fromMillis(15);
+/// A new leader gets reports for this long even if they are empty, because it waits for a report of each store.
+constexpr Duration kNewLeaderReportTime = fromMillis(1500);
+/// First events and ends are reported after this delay, so that those of the same moment share a report.
+constexpr Duration kReportDelay = fromMillis(15);
 constexpr unsigned kUnprocessable = 422;
 constexpr unsigned kServerError = 500;
 constexpr unsigned kMisdirected = 421;
@@ -57,18 +57,18 @@
       report_(std::move(report)),
       crashes_(crashes),
       engines_(context),
-      soon_(context) {}
+      report_timer_(context) {}
 
 ItemRunner::~ItemRunner() {
   *alive_ = false;
 }
 
 void ItemRunner::setLeader(const ReplicaId& leader, std::uint64_t term) {
-  leader_heard_at_ = monotonicNow();
+  last_leader_contact_ = monotonicNow();
   if (term == term_ && leader == leader_) return;
   leader_ = leader;
   term_ = term;
-  reports_until_ = leader_heard_at_ + kReportsToNewLeader;
+  reports_until_ = last_leader_contact_ + kNewLeaderReportTime;
   offerRuns();
   report();
 }
@@ -94,28 +94,28 @@
 }
 
 void ItemRunner::offerRuns() {
-  ended_.clear();
+  unreported_ends_.clear();
   fleet::RunOffer offer{self_, term_, {}};
   for (const auto& [number, run] : runs_) {
-    // What was to be reported is part of the offer.
+    // The offer contains the news that had not been reported yet.
     run->has_news = false;
     run->news.text.clear();
     run->news.events = 0;
     offer.runs.push_back(offerOf(*run));
   }
-  for (const EndedRun& ended : kept_ended_) offer.runs.push_back(ended.offer);
+  for (const EndedRun& ended : ended_runs_) offer.runs.push_back(ended.offer);
   if (offer.runs.empty()) return;
   logEvent(LogLevel::kInfo, "runs_offered",
-           {{"leader", leader_.value}, {"term", term_}, {"running", runs_.size()}, {"ended", kept_ended_.size()}});
+           {{"leader", leader_.value}, {"term", term_}, {"running", runs_.size()}, {"ended", ended_runs_.size()}});
   report_(leader_, std::move(offer));
 }
 
-/// A report may be lost, come after its leader's end or for a run that was written off; the item must not be sent again
-/// for any of these as if it had not been answered.
-void ItemRunner::keepAnswer(const Run& run) {
+/// A report may be lost, or arrive after its leader has lost its leadership or has given the run up as lost. In none of
+/// these cases may the item be sent again as if it had not been answered, so answers are repeated until confirmed.
+void ItemRunner::retainAnswer(const Run& run) {
   if (run.news.end != RunEnd::kFailed && run.news.end != RunEnd::kImpossible) return;
   fleet::ItemAnswer answer{run.order.number, run.order.job, run.order.item.id, run.news.end};
-  answers_.push_back(UnkeptAnswer{std::move(answer), monotonicNow()});
+  answers_.push_back(UnconfirmedAnswer{std::move(answer), monotonicNow()});
   logEvent(LogLevel::kInfo, "item_answered",
            {{"job", run.order.job.value},
             {"request", run.order.item.id},
@@ -126,27 +126,28 @@
             {"term", term_}});
 }
 
-void ItemRunner::forgetAnswers(const std::vector<std::uint64_t>& kept) {
-  for (const std::uint64_t number : kept) {
-    std::erase_if(answers_, [number](const UnkeptAnswer& entry) { return entry.answer.number == number; });
+void ItemRunner::removeConfirmedAnswers(const std::vector<std::uint64_t>& confirmed) {
+  for (const std::uint64_t number : confirmed) {
+    std::erase_if(answers_, [number](const UnconfirmedAnswer& entry) { return entry.answer.number == number; });
   }
 }
 
-void ItemRunner::forgetOldAnswers(Instant now) {
-  std::size_t forgotten = 0;
-  while (!answers_.empty() && (answers_.size() > kMostAnswers || now > answers_.front().came_at + kAnswerKept)) {
+void ItemRunner::dropOldAnswers(Instant now) {
+  std::size_t dropped = 0;
+  while (!answers_.empty() &&
+         (answers_.size() > kMaxAnswers || now > answers_.front().received_at + kAnswerRetention)) {
     answers_.pop_front();
-    ++forgotten;
+    ++dropped;
   }
-  if (forgotten > 0) logEvent(LogLevel::kWarning, "item_answers_forgotten", {{"count", forgotten}});
+  if (dropped > 0) logEvent(LogLevel::kWarning, "item_answers_forgotten", {{"count", dropped}});
 }
 
-void ItemRunner::keepEnded(const Run& run) {
-  if (run.news.end == RunEnd::kWhole) kept_ended_.push_back(EndedRun{offerOf(run), monotonicNow()});
+void ItemRunner::retainEndedRun(const Run& run) {
+  if (run.news.end == RunEnd::kWhole) ended_runs_.push_back(EndedRun{offerOf(run), monotonicNow()});
 }
 
-void ItemRunner::forgetEnded(Instant now) {
-  while (!kept_ended_.empty() && now > kept_ended_.front().ended_at + kEndedKept) kept_ended_.pop_front();
+void ItemRunner::dropOldEndedRuns(Instant now) {
+  while (!ended_runs_.empty() && now > ended_runs_.front().ended_at + kEndedRunRetention) ended_runs_.pop_front();
 }
 
 void ItemRunner::take(fleet::RunOrder order) {
@@ -160,7 +161,7 @@
   run->text = std::move(order.text);
   run->news.last_event = order.last_event;
   run->order = std::move(order);
-  run->began_at = monotonicNow();
+  run->started_at = monotonicNow();
   run->fingerprint = fleet::contentOf(run->order.tenant, run->order.host, run->order.item);
   runs_.emplace(run->order.number, run);
   connection::asio::co_spawn(context_, this->run(run), connection::asio::detached);
@@ -170,7 +171,7 @@
   if (lease.term < term_) return;
   setLeader(lease.from, lease.term);
   for (const std::uint64_t number : lease.stopped) stop(number);
-  forgetAnswers(lease.kept_answers);
+  removeConfirmedAnswers(lease.kept_answers);
 }
 
 void ItemRunner::stop(std::uint64_t number) {
@@ -187,7 +188,7 @@
     run->stopped = true;
     if (run->control && run->control->cancel) run->control->cancel();
   }
-  ended_.clear();
+  unreported_ends_.clear();
 }
 
 void ItemRunner::handBack() {
@@ -196,8 +197,8 @@
     ++news.sequence;
     news.ended = true;
     news.end = RunEnd::kBroken;
-    news.cause = "the store stops";
-    ended_.push_back(std::move(news));
+    news.cause = "store is shutting down";
+    unreported_ends_.push_back(std::move(news));
     run->stopped = true;
     if (run->control && run->control->cancel) run->control->cancel();
   }
@@ -206,11 +207,11 @@
 }
 
 void ItemRunner::tick(Instant now) {
-  forgetEnded(now);
-  forgetOldAnswers(now);
+  dropOldEndedRuns(now);
+  dropOldAnswers(now);
   if (!hasReport(now)) return;
-  const bool has_runs = !runs_.empty() || !ended_.empty();
-  if (has_runs && now > leader_heard_at_ + kLease) {
+  const bool has_runs = !runs_.empty() || !unreported_ends_.empty();
+  if (has_runs && now > last_leader_contact_ + kLeaseDuration) {
     logEvent(LogLevel::kWarning, "run_lease_ended", {{"leader", leader_.value}, {"running", runs_.size()}});
     stopAll();
     return;
@@ -219,25 +220,25 @@
 }
 
 void ItemRunner::reportSoon() {
-  if (std::exchange(soon_armed_, true)) return;
-  soon_.expires_after(kReportSoon);
-  soon_.async_wait([this, alive = alive_](boost::system::error_code error) {
+  if (std::exchange(report_timer_armed_, true)) return;
+  report_timer_.expires_after(kReportDelay);
+  report_timer_.async_wait([this, alive = alive_](boost::system::error_code error) {
     if (error || !*alive) return;
-    soon_armed_ = false;
+    report_timer_armed_ = false;
     report();
   });
 }
 
 bool ItemRunner::hasReport(Instant now) const {
-  return !runs_.empty() || !ended_.empty() || !answers_.empty() || now < reports_until_;
+  return !runs_.empty() || !unreported_ends_.empty() || !answers_.empty() || now < reports_until_;
 }
 
 void ItemRunner::report() {
   if (!hasReport(monotonicNow())) return;
   next_report_ = monotonicNow() + kReportInterval;
-  fleet::RunReport report{self_, term_, std::exchange(ended_, {}), {}, {}};
-  for (const UnkeptAnswer& entry : answers_) {
-    if (report.answers.size() >= kMostAnswersTold) break;
+  fleet::RunReport report{self_, term_, std::exchange(unreported_ends_, {}), {}, {}};
+  for (const UnconfirmedAnswer& entry : answers_) {
+    if (report.answers.size() >= kMaxAnswersPerReport) break;
     report.answers.push_back(entry.answer);
   }
   for (const auto& [number, run] : runs_) {
@@ -266,7 +267,7 @@
   out.headers.push_back({names.expected_engine, order.engine.value});
   out.headers.push_back({names.remaining_ms, std::to_string(toMillis(kRunTime))});
   if (order.last_event > 0) out.headers.push_back({names.last_event_id, std::to_string(order.last_event)});
-  // The leader keeps the body for a later run.
+  // Not needed here again: the leader has the body for a later run.
   out.body = std::exchange(order.item.body, {});
   out.echo_name = names.request_id;
   out.echo_value = order.item.id;
@@ -288,7 +289,7 @@
     auto exchange = std::move(std::get<std::unique_ptr<EngineExchange>>(started));
     noteLoad(*run, *exchange);
     co_await readAnswer(*run, *exchange);
-    // The wait before may have outlived this object, which the linter does not see.
+    // This object may have been destroyed during the wait before, which the linter does not see.
     if (!*alive) co_return;  // cppcheck-suppress identicalConditionAfterEarlyExit
   }
   if (run->closed_by_engine && !run->stopped) {
@@ -304,7 +305,7 @@
       connection::parseEndpoint(run->order.engine_address).value_or(connection::Endpoint{});
   const connection::EngineReachability state = co_await engines_.probe(std::move(engine), endpoint);
   if (state != connection::EngineReachability::kEnded) co_return;
-  crashes_.noteCrash(monotonicNow(), run->began_at, run->fingerprint, run->order.engine, run->order.engine_born);
+  crashes_.noteCrash(monotonicNow(), run->started_at, run->fingerprint, run->order.engine, run->order.engine_born);
   logEvent(LogLevel::kInfo, "item_engine_ended",
            {{"job", run->order.job.value},
             {"request", run->order.item.id},
@@ -403,9 +404,9 @@
   const bool has_answer =
       run->news.end == RunEnd::kWhole || run->news.end == RunEnd::kFailed || run->news.end == RunEnd::kImpossible;
   if (has_answer) crashes_.noteAnswered(monotonicNow(), run->fingerprint);
-  keepAnswer(*run);
-  keepEnded(*run);
-  ended_.push_back(std::move(run->news));
+  retainAnswer(*run);
+  retainEndedRun(*run);
+  unreported_ends_.push_back(std::move(run->news));
   reportSoon();
 }
 
--- a/src/process/store/item_runner.hpp
+++ b/src/process/store/item_runner.hpp
@@ -20,12 +20,13 @@
 
 namespace hatchfork::store {
 
-/// Runs batch items at engines as the leader of the store group orders, and reports what comes of them. It decides
-/// nothing: a run that breaks is reported and forgotten. Runs outlive their leader: the next one is offered what runs
-/// here and what ended lately, since nobody else may know it. Belongs to one thread.
+/// Runs batch items at engines as ordered by the leader of the store group, and reports their progress and outcome.
+/// All decisions are the leader's: a run that breaks is reported and dropped. Runs outlive their leader: the next
+/// leader is offered the runs in flight and those that ended recently, which no other process may have on record. Not
+/// thread-safe.
 ///
-/// Invariant: orders of an older term than the newest that was heard of are not taken, and nothing runs longer than the
-/// lease after the last sign of life of a leader.
+/// Invariant: orders of an older term than the newest that was received are ignored, and no run continues for longer
+/// than the lease after the last heartbeat of a leader.
 class ItemRunner {
  public:
   /// Sends a report or an offer to a leader.
@@ -35,46 +36,48 @@
              fleet::CrashWatch& crashes);
   ~ItemRunner();
 
+  /// Starts a run, unless the order is of an older term or a repetition.
   void take(fleet::RunOrder order);
+  /// Renews the lease of the runs here, stops those that the leader no longer needs, and drops confirmed answers.
   void take(const fleet::RunLease& lease);
-  /// Sends reports that are due, and breaks off runs whose leader has fallen silent; call several times a second.
+  /// Sends reports that are due, and aborts runs whose leader's lease has expired; call several times a second.
   void tick(Instant now);
-  /// Breaks off everything and tells the leader so, for a planned stop.
+  /// Aborts all runs and reports that to the leader, for a planned shutdown.
   void handBack();
   void closeIdle(const std::function<bool(const EngineId&)>& in_use) { engines_.closeIdle(in_use); }
 
   std::size_t running() const { return runs_.size(); }
-  /// Answers of engines that no leader is known to have kept.
+  /// Number of engine answers that no leader has confirmed as stored.
   std::size_t unkeptAnswers() const { return answers_.size(); }
 
  private:
   struct Run {
     fleet::RunOrder order;
     std::shared_ptr<connection::ExchangeControl> control;
-    /// What is to be reported next.
+    /// Contents of the next report about this run.
     fleet::RunNews news;
     bool has_news = false;
     bool has_text = false;
     bool stopped = false;
-    /// Its content, which is the same for a like item of another job.
+    /// Fingerprint of the item's content; the same for an equal item of another job.
     request::RequestFingerprint fingerprint;
-    Instant began_at{};
-    /// The engine ended the connection.
+    Instant started_at{};
+    /// True if the engine closed the connection.
     bool closed_by_engine = false;
-    /// How far the item's text has got, that of earlier runs included.
+    /// Position in the item's text, including the text of earlier runs.
     request::StreamPosition position;
-    /// The item's whole text, that of earlier runs included.
+    /// Text of the item so far, including that of earlier runs.
     std::string text;
   };
-  /// A run that ended, kept for a while for the next leader.
+  /// A run that ended, retained for a while for the next leader.
   struct EndedRun {
     fleet::OfferedRun offer;
     Instant ended_at{};
   };
-  /// An engine's answer that is told until a leader says that the group keeps it.
-  struct UnkeptAnswer {
+  /// An engine's answer that is reported until a leader confirms that the group has stored it.
+  struct UnconfirmedAnswer {
     fleet::ItemAnswer answer;
-    Instant came_at{};
+    Instant received_at{};
   };
   using RunPtr = std::shared_ptr<Run>;
 
@@ -82,25 +85,25 @@
   void stop(std::uint64_t number);
   void stopAll();
   connection::Awaitable<void> run(RunPtr run);
-  /// After an engine ended the connection: looks whether the engine itself has ended.
+  /// Probes whether the engine itself has exited, after it closed the connection.
   connection::Awaitable<void> probeEngine(RunPtr run);
   connection::Awaitable<void> readAnswer(Run& run, connection::EngineExchange& exchange);
   connection::EngineRequest engineRequest(Run& run) const;
   void noteLoad(Run& run, connection::EngineExchange& exchange) const;
   void finish(const RunPtr& run);
-  /// Adds the next event to what is to be reported. False if others are missing before it or its place is not known.
+  /// Adds the next event to the next report. False if events before it are missing or its position is unknown.
   static bool takeEvent(Run& run, const connection::StreamEvent& event);
-  /// What the end of an answer says of the item.
+  /// Sets the run's outcome from the end of its answer.
   void takeEnd(Run& run, bool is_framed, bool has_partial);
-  /// Keeps an answer that counts against the item, and tells of it.
-  void keepAnswer(const Run& run);
-  void forgetAnswers(const std::vector<std::uint64_t>& kept);
-  void forgetOldAnswers(Instant now);
-  /// Keeps a run that has brought a whole text.
-  void keepEnded(const Run& run);
-  void forgetEnded(Instant now);
+  /// Retains an answer that counts against the item until a leader confirms it.
+  void retainAnswer(const Run& run);
+  void removeConfirmedAnswers(const std::vector<std::uint64_t>& confirmed);
+  void dropOldAnswers(Instant now);
+  /// Retains a run that has completed its text.
+  void retainEndedRun(const Run& run);
+  void dropOldEndedRuns(Instant now);
   static fleet::OfferedRun offerOf(const Run& run);
-  /// Tells a new leader what runs here.
+  /// Offers a new leader the runs in flight here and those that ended recently.
   void offerRuns();
   void reportSoon();
   bool hasReport(Instant now) const;
@@ -111,23 +114,23 @@
   ReplicaId self_;
   ReportFunction report_;
   fleet::CrashWatch& crashes_;
-  /// Of all engines that run items here.
+  /// How the engines that run items here have framed their answers.
   request::AnswerFraming framing_;
   connection::EngineClient engines_;
   std::map<std::uint64_t, RunPtr> runs_;
   /// Ended runs that have not been reported.
-  std::vector<fleet::RunNews> ended_;
-  std::deque<EndedRun> kept_ended_;
-  std::deque<UnkeptAnswer> answers_;
+  std::vector<fleet::RunNews> unreported_ends_;
+  std::deque<EndedRun> ended_runs_;
+  std::deque<UnconfirmedAnswer> answers_;
   ReplicaId leader_;
   std::uint64_t term_ = 0;
-  Instant leader_heard_at_{};
+  Instant last_leader_contact_{};
   Instant next_report_{};
-  /// Until then there is a report even with nothing in it.
+  /// Until this time reports are sent even if they are empty.
   Instant reports_until_{};
-  connection::Timer soon_;
-  bool soon_armed_ = false;
-  /// Coroutines of runs outlive this object.
+  connection::Timer report_timer_;
+  bool report_timer_armed_ = false;
+  /// False once this object is destroyed; coroutines of runs may outlive it.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/process/store/job_commands.hpp
+++ b/src/process/store/job_commands.hpp
@@ -10,41 +10,43 @@
 #include "process/store/kept_crashes.hpp"
 #include "version/batch_submission.hpp"
 
-/// The commands of a store group's log.
+/// Commands of a store group's replicated log.
 namespace hatchfork::store {
 
-/// Keeps a job, unless it does not fit beside what waits on its route. The same identifier again changes nothing. A
-/// refusal holds for all copies of the try, since the submitter may have been told.
+/// Stores a job, unless it would exceed the limit of waiting work on its route. A second submission with the same
+/// identifier changes nothing. A refusal is final for all copies of the attempt, since it may have reached the
+/// submitter already.
 struct SubmitJob {
   static constexpr std::string_view kKind = "submit";
   JobSubmission job;
   WaitingLimit limit;
-  /// Zero: not named, and never remembered.
+  /// Identifies the attempt. Zero: unnamed, its refusal is not recorded.
   std::uint64_t attempt = 0;
 };
-/// Entries that older programs logged have neither a limit nor a try.
+/// Entries that were logged by older versions have neither a limit nor an attempt.
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(SubmitJob, job, limit, attempt)
 
-/// What `JobState::apply` answers.
+/// Values that `JobState::apply` returns.
 inline constexpr std::string_view kApplyChanged = "changed";
 inline constexpr std::string_view kApplyUnchanged = "unchanged";
 inline constexpr std::string_view kApplyOverLimit = "over_limit";
 inline constexpr std::string_view kApplyUnknown = "unknown_job";
 
+/// Result of one item of a job.
 struct JobResult {
   JobId job;
-  /// The text, or what follows on the progress that is kept up to `after_event`.
+  /// Contains the whole text, or the part after the progress that is stored up to `after_event`.
   ItemResult result;
   /// Zero: the text is whole.
   std::uint64_t after_event = 0;
-  /// The chain of runs whose progress is kept up to there.
+  /// Chain of runs of which progress is stored up to `after_event`.
   std::uint64_t after_chain = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(JobResult, job, result, after_event, after_chain)
 
-/// How far an open item has got: the text that follows on what is kept up to `after_event` by the chain `after_chain`.
-/// A chain is one run and the runs before it, each of which was asked to go on after the last event of the one before;
-/// it is named by its last run. Texts of different chains are never joined in the middle.
+/// Progress of an open item: the text after the part that is stored up to `after_event` by the chain `after_chain`.
+/// A chain is a run together with the runs before it, each of which resumed after the last event of its predecessor;
+/// a chain is named by its last run. Texts of different chains are never joined in the middle.
 struct ItemProgress {
   JobId job;
   std::string item;
@@ -53,42 +55,43 @@
   std::uint64_t last_event = 0;
   std::uint64_t chain = 0;
   std::string text;
-  /// Runs that ended with a failure of the item itself, over all leaders.
+  /// Number of runs that ended with a failure of the item itself, over all leaders.
   std::uint32_t failures = 0;
-  /// Runs of which that is told here. Each one counts once, however often and by how many leaders it is told.
+  /// Failed runs that this entry reports. Each run counts once, no matter how often and by how many leaders it is
+  /// reported.
   std::vector<std::uint64_t> failed_runs;
 };
-/// Entries that older programs logged do not name the runs.
+/// Entries that were logged by older versions do not name the runs.
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(ItemProgress, job, item, after_event, after_chain, last_event, chain,
                                                 text, failures, failed_runs)
 
-/// Keeps progress, so that a new leader goes on where the last one was. What does not follow on what is kept is passed
-/// over.
+/// Stores progress, so that a new leader resumes items where its predecessor was. Progress that does not continue what
+/// is stored is skipped.
 struct SaveProgress {
   static constexpr std::string_view kKind = "progress";
   std::vector<ItemProgress> items;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(SaveProgress, items)
 
-/// Adds results to the lists of their jobs. An item that is listed already, or whose job is unknown, is passed over,
-/// and so is a text that does not follow on the progress that is kept.
+/// Adds results to the lists of their jobs. An item that is listed already, or whose job is unknown, is skipped, and so
+/// is a text that does not continue the stored progress.
 struct ListResults {
   static constexpr std::string_view kKind = "list";
   std::vector<JobResult> results;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ListResults, results)
 
-/// Ends a job: nothing more of it is run. Answers `kApplyUnknown` for a job of another tenant.
+/// Ends a job: no further item of it is run. Returns `kApplyUnknown` for a job of another tenant.
 struct EndJob {
   static constexpr std::string_view kKind = "end";
   JobId job;
-  /// Of the caller; a job of another one is not ended.
+  /// Tenant of the caller; a job of another tenant is not ended.
   TenantId tenant;
 };
-/// Logs of older programs have no tenants.
+/// Logs of older versions have no tenants.
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(EndJob, job, tenant)
 
-/// Forgets jobs whose results nobody may ask for any more.
+/// Removes jobs whose results may no longer be requested.
 struct DropJobs {
   static constexpr std::string_view kKind = "drop";
   std::vector<JobId> jobs;
--- a/src/process/store/job_executor.cpp
+++ b/src/process/store/job_executor.cpp
@@ -13,32 +13,34 @@
 
 namespace {
 
-/// A new leader knows little of what else is in flight, and callers come back in a crowd after a failure of many
-/// processes: it allows itself this share of all slots more a second.
-constexpr double kSlotsStartedPerSecond = 0.2;
-/// It orders no item that earlier leaders may have run before each store has told its answers, but waits no longer than
-/// this for stores that are down: an item whose answer is not heard yet would be sent once more by each new leader.
-constexpr Duration kStoresHeardWithin = std::chrono::seconds(1);
-/// Until this long after its start.
+/// Slow start: the share of all slots by which a new leader increases its limit of runs each second. It has little
+/// information on other load, and many callers retry at once after a failure of many processes.
+constexpr double kSlowStartSharePerSecond = 0.2;
+/// A new leader orders no item that earlier leaders may have run before each store has reported its answers, since each
+/// new leader would otherwise send an already answered item again. It waits no longer than this for stores that are
+/// down.
+constexpr Duration kStoreReportTimeout = std::chrono::seconds(1);
+/// Duration of the slow start.
 constexpr Duration kSlowStart = std::chrono::seconds(3);
 constexpr Duration kCleanupInterval = std::chrono::seconds(1);
-/// Wall clocks may differ by this much; an item is given up only so much later than its retention.
+/// Maximum difference of wall clocks; an item is given up only this long after its retention has passed.
 constexpr Duration kClockMargin = fromMillis(2500);
-/// A finished job is forgotten this long after it was submitted.
-constexpr Duration kFinishedJobKept = std::chrono::minutes(10);
+/// A finished job is dropped this long after its submission.
+constexpr Duration kFinishedJobRetention = std::chrono::minutes(10);
 /// A route must be missing for this long before the open items of its jobs are given up.
-constexpr Duration kRouteMissingFor = std::chrono::seconds(4);
-/// Places in the queue that one pass looks at for an item that may start.
-constexpr std::size_t kMostLookedAt = 64;
-constexpr std::size_t kBegunBetweenPlans = 8;
-/// While no run was seen, a whole one is taken to need this share of the time until results are due.
-constexpr int kGuessedShareOfTarget = 4;
-/// Results that a new leader learns from.
-constexpr std::size_t kMostLearnedFrom = 100;
+constexpr Duration kMissingRouteTimeout = std::chrono::seconds(4);
+/// Number of queue entries that one pass examines for an item that may start.
+constexpr std::size_t kMaxExaminedEntries = 64;
+/// Number of started runs after which the trough is planned again.
+constexpr std::size_t kStartsBetweenPlans = 8;
+/// Until a run has been observed, a whole run is estimated at the completion target divided by this.
+constexpr int kGuessedRunsPerTarget = 4;
+/// Maximum number of stored results from which a new leader estimates the length of items.
+constexpr std::size_t kMaxResultsLearned = 100;
 
-RunBoardLimits boardLimits(std::size_t most_runs) {
+RunBoardLimits runTableLimits(std::size_t max_runs) {
   RunBoardLimits limits;
-  limits.most_runs = most_runs;
+  limits.max_runs = max_runs;
   return limits;
 }
 
@@ -51,7 +53,7 @@
       propose_(std::move(propose)),
       send_(std::move(send)),
       crashes_(crashes),
-      board_(options_.self, boardLimits(options_.most_running)),
+      run_table_(options_.self, runTableLimits(options_.most_running)),
       selector_(options_.seed),
       split_(options_.seed),
       chains_(options_.seed) {}
@@ -60,7 +62,7 @@
   *alive_ = false;
 }
 
-/// Items go on at engines of evacuated zones to the end of their run, and begin at none of them.
+/// Runs continue to their end at engines of evacuated zones; no new run starts there.
 void JobExecutor::takeView(const fleet::FleetView& view, const fleet::FleetChange& change) {
   const Instant now = monotonicNow();
   if (change.routes) {
@@ -72,7 +74,7 @@
     std::map<ReplicaId, ZoneId> runners;
     for (const fleet::StoreAddress& store : view.stores) runners.emplace(store.address, store.zone);
     for (const ReplicaId& retiring : view.retiring) runners.erase(retiring);
-    board_.setRunners(std::move(runners));
+    run_table_.setRunners(std::move(runners));
     selector_.setEvacuated(now, view.evacuated.zones);
   }
   selector_.takeEngines(now, change.engines);
@@ -86,12 +88,12 @@
   term_ = term;
   if (!leading) return;
   const Instant now = monotonicNow();
-  starts_from_ = now + options_.loads_known_after;
+  starts_from_ = now + options_.start_delay;
   adopted_ = 0;
-  // What was learned in an earlier leadership is old.
+  // The load history of an earlier leadership is outdated.
   trough_ = request::BatchTrough();
-  heard_stores_.clear();
-  board_.startTerm(now, term);
+  reported_stores_.clear();
+  run_table_.startTerm(now, term);
   learnFromResults();
   for (const auto& [id, job] : state_->jobs()) enqueueOpenItems(job);
   for (const ItemPtr& run : queue_) run->is_inherited = true;
@@ -103,7 +105,7 @@
   pump();
 }
 
-/// Runs go on at their stores, which offer them to the next leader.
+/// Runs continue at their stores, which offer them to the next leader.
 void JobExecutor::stopLeading() {
   logEvent(LogLevel::kInfo, "executor_stopped",
            {{"term", term_}, {"running", runs_.size()}, {"waiting", queue_.size()}});
@@ -114,16 +116,16 @@
   }
   items_.clear();
   queue_.clear();
-  held_.clear();
+  parked_.clear();
   results_.clear();
   refused_results_.clear();
   failures_.clear();
   pending_failures_.clear();
-  // What is still being proposed belongs to this leadership alone; the next one here must not wait for it.
+  // Pending proposals belong to this leadership only; a later leadership of this store must not wait for them.
   proposals_running_ = 0;
   proposing_failures_ = false;
   saving_ = false;
-  board_.clear();
+  run_table_.clear();
 }
 
 void JobExecutor::noteChange(const JobId& id) {
@@ -167,17 +169,17 @@
   }
   items_.erase(found);
   std::erase_if(queue_, [](const ItemPtr& run) { return run->stopped; });
-  std::erase_if(held_, [](const ItemPtr& run) { return run->stopped; });
+  std::erase_if(parked_, [](const ItemPtr& run) { return run->stopped; });
   sendLeases(connection::monotonicNow());
 }
 
 void JobExecutor::tick(Instant now) {
   if (!leading_) return;
-  breakRuns(board_.takeLost(now));
-  yieldSlots(now);
+  breakRuns(run_table_.takeLost(now));
+  preemptExcessRuns(now);
   proposeFailures();
   saveProgress(now);
-  releaseHeld(now);
+  releaseParked(now);
   pump();
   sendLeases(now);
   if (now < next_cleanup_) return;
@@ -192,10 +194,10 @@
   if (now < starts_from_) return;
   orderQueue(now);
   planTrough(now);
-  std::size_t begun = 0;
+  std::size_t started = 0;
   while (startNext(now)) {
-    // What has begun takes pressure from those that wait.
-    if (++begun % kBegunBetweenPlans != 0) continue;
+    // Started runs reduce the pressure on waiting items.
+    if (++started % kStartsBetweenPlans != 0) continue;
     next_plan_ = now;
     planTrough(now);
   }
@@ -214,7 +216,7 @@
 Instant JobExecutor::dueTimeOf(Instant now, const StoredJob& job) {
   const Route* route = routeOf(job);
   if (route == nullptr || route->completion_target == Duration::zero()) return Instant::max();
-  run_times_.setGuess(route->completion_target / kGuessedShareOfTarget);
+  run_times_.setGuess(route->completion_target / kGuessedRunsPerTarget);
   const std::int64_t age_ms = std::max<std::int64_t>(0, connection::wallNow() - job.submission.submitted_at);
   return now + route->completion_target - fromMillis(age_ms);
 }
@@ -231,31 +233,31 @@
   std::size_t learned = 0;
   for (const auto& [id, job] : state_->jobs()) {
     for (const ItemResult& result : job.results) {
-      if (result.outcome != ItemOutcome::kCompleted || learned >= kMostLearnedFrom) continue;
+      if (result.outcome != ItemOutcome::kCompleted || learned >= kMaxResultsLearned) continue;
       run_times_.noteWhole(eventsIn(result.text));
       ++learned;
     }
   }
 }
 
-std::size_t JobExecutor::mostRunsNow(Instant now) const {
+std::size_t JobExecutor::maxRunsNow(Instant now) const {
   if (now >= starts_from_ + kSlowStart) return std::numeric_limits<std::size_t>::max();
-  const double more_each_second = kSlotsStartedPerSecond * selector_.allSlots();
+  const double more_each_second = kSlowStartSharePerSecond * selector_.allSlots();
   return adopted_ + 1 + static_cast<std::size_t>(more_each_second * toSeconds(now - starts_from_));
 }
 
-bool JobExecutor::hasHeardStores(Instant now) const {
-  if (now >= starts_from_ + kStoresHeardWithin) return true;
-  const auto& runners = board_.runners();
+bool JobExecutor::haveStoresReported(Instant now) const {
+  if (now >= starts_from_ + kStoreReportTimeout) return true;
+  const auto& runners = run_table_.runners();
   return std::all_of(runners.begin(), runners.end(),
-                     [this](const auto& runner) { return heard_stores_.contains(runner.first); });
+                     [this](const auto& runner) { return reported_stores_.contains(runner.first); });
 }
 
 bool JobExecutor::startNext(Instant now) {
-  if (runs_.size() >= mostRunsNow(now)) return false;
-  const bool starts_inherited = hasHeardStores(now);
-  const std::size_t looked_at = std::min(queue_.size(), kMostLookedAt);
-  for (std::size_t i = 0; i < looked_at; ++i) {
+  if (runs_.size() >= maxRunsNow(now)) return false;
+  const bool starts_inherited = haveStoresReported(now);
+  const std::size_t examined = std::min(queue_.size(), kMaxExaminedEntries);
+  for (std::size_t i = 0; i < examined; ++i) {
     const ItemPtr run = queue_[i];
     if (run->not_before > now || (run->is_inherited && !starts_inherited)) continue;
     const StoredJob* job = openJob(*run);
@@ -267,12 +269,12 @@
     if (route == nullptr) continue;
     request::EngineQuery query = queryOf(*run, *job, *route);
     request::TroughVerdict verdict;
-    // A later one may need its place for less time.
+    // A later item may need its slot for less time.
     if (!fitsTrough(now, *run, query, verdict)) continue;
     const std::optional<EngineChoice> choice = chooseEngine(now, run, *job, query);
-    // It was taken out of the queue.
+    // The item was moved out of the queue.
     if (!choice && run->not_before > now) return true;
-    if (!choice || !board_.chooseRunner(now, choice->engine.zone)) return false;
+    if (!choice || !run_table_.chooseRunner(now, choice->engine.zone)) return false;
     queue_.erase(queue_.begin() + static_cast<std::ptrdiff_t>(i));
     startRun(now, run, *job, *choice, query, verdict);
     return true;
@@ -314,7 +316,7 @@
       route_missing_since_.emplace(id, now);
     }
     const auto missing = route_missing_since_.find(id);
-    const bool route_gone = missing != route_missing_since_.end() && now > missing->second + kRouteMissingFor;
+    const bool route_gone = missing != route_missing_since_.end() && now > missing->second + kMissingRouteTimeout;
     const Duration age = fromMillis(wall - job->submission.submitted_at);
     const bool too_old =
         route != nullptr && route->retention > Duration::zero() && age > route->retention + kClockMargin;
@@ -330,7 +332,7 @@
     finishItem(run, ItemOutcome::kErrored);
   }
   std::erase_if(queue_, [](const ItemPtr& run) { return run->stopped; });
-  std::erase_if(held_, [](const ItemPtr& run) { return run->stopped; });
+  std::erase_if(parked_, [](const ItemPtr& run) { return run->stopped; });
 }
 
 void JobExecutor::dropOldJobs() {
@@ -338,7 +340,7 @@
   DropJobs drop;
   for (const auto& [id, job] : state_->jobs()) {
     const Duration age = fromMillis(wall - job.submission.submitted_at);
-    if (job.isFinished() && age > kFinishedJobKept) drop.jobs.push_back(id);
+    if (job.isFinished() && age > kFinishedJobRetention) drop.jobs.push_back(id);
   }
   if (!drop.jobs.empty()) propose_(std::move(drop), [](bool) {});
 }
--- a/src/process/store/job_executor_crashes.cpp
+++ b/src/process/store/job_executor_crashes.cpp
@@ -4,16 +4,17 @@
 #include "common/log.hpp"
 #include "process/store/job_executor.hpp"
 
-// Items under which engines ended: apart from each other, and not sent while that is too likely to happen again.
+// Handling of items during which engines crashed: they run apart from each other, and are not sent while another crash
+// is too likely.
 namespace hatchfork::store {
 
 using request::EngineChoice;
 
 namespace {
 
-/// An item that waits for another run of its content, or for an engine without a suspect, is looked at again after
-/// this.
-constexpr Duration kLookedAtAgain = fromMillis(250);
+/// Interval at which an item is checked again that waits for the end of another run of its content, or for an engine
+/// without a suspect.
+constexpr Duration kRecheckInterval = fromMillis(250);
 
 }  // namespace
 
@@ -28,8 +29,8 @@
   const request::CrashVerdict verdict = crashes_.judge(run->content);
   run->is_suspect = crashes_.isKeptApart(run->content);
   if (verdict.isRefused(now) || crashes_.mustWait(now, run->content)) {
-    // Its job ends it, or its retention: nothing shows that it can never be done.
-    hold(run, verdict.isRefused(now) ? verdict.refused_until : now + kLookedAtAgain);
+    // The item ends with its job or its retention, not here: nothing proves that it can never be completed.
+    park(run, verdict.isRefused(now) ? verdict.refused_until : now + kRecheckInterval);
     return std::nullopt;
   }
   const std::set<EngineId> excluded = query.excluded;
@@ -38,13 +39,13 @@
   if (choice || query.excluded == excluded) return choice;
   query.excluded = excluded;
   choice = selector_.choose(now, query);
-  // Where nothing has room, it waits in the queue like any other item.
+  // If no engine has a free slot, the item waits in the queue like any other.
   if (!choice || verdict.crashes <= 1) return choice;
-  hold(run, now + kLookedAtAgain);
+  park(run, now + kRecheckInterval);
   return std::nullopt;
 }
 
-void JobExecutor::hold(const ItemPtr& run, Instant until) {
+void JobExecutor::park(const ItemPtr& run, Instant until) {
   logEvent(LogLevel::kInfo, "item_held",
            {{"job", run->job.value},
             {"request", run->item},
@@ -53,17 +54,17 @@
             {"for_ms", toMillis(until - connection::monotonicNow())}});
   run->not_before = until;
   std::erase(queue_, run);
-  held_.push_back(run);
+  parked_.push_back(run);
 }
 
-void JobExecutor::releaseHeld(Instant now) {
-  const auto due = std::stable_partition(held_.begin(), held_.end(), [&](const ItemPtr& run) {
+void JobExecutor::releaseParked(Instant now) {
+  const auto due = std::stable_partition(parked_.begin(), parked_.end(), [&](const ItemPtr& run) {
     return run->not_before > now && crashes_.judge(run->content).isSuspect();
   });
-  if (due == held_.end()) return;
-  for (auto run = due; run != held_.end(); ++run) (*run)->not_before = now;
-  queue_.insert(queue_.end(), due, held_.end());
-  held_.erase(due, held_.end());
+  if (due == parked_.end()) return;
+  for (auto run = due; run != parked_.end(); ++run) (*run)->not_before = now;
+  queue_.insert(queue_.end(), due, parked_.end());
+  parked_.erase(due, parked_.end());
   next_order_ = Instant{};
 }
 
--- a/src/process/store/job_executor_failures.cpp
+++ b/src/process/store/job_executor_failures.cpp
@@ -5,7 +5,7 @@
 #include "connection/asio.hpp"
 #include "process/store/job_executor.hpp"
 
-// What engines answered against items: failures and "can never be done".
+// Handling of engine answers that count against items: failures, and items that can never be completed.
 namespace hatchfork::store {
 
 namespace {
@@ -23,16 +23,16 @@
 }
 
 void JobExecutor::takeAnswer(const ReplicaId& runner, const fleet::ItemAnswer& answer) {
-  // A job that is not known here may only not be applied yet.
+  // The entry that submits the job may not have been applied here yet.
   if (state_->find(answer.job) == nullptr) return;
   const ItemPtr run = openItem(answer.job, answer.item);
   if (!run || state_->isFailureCounted(answer.job, answer.item, answer.number)) {
-    board_.acknowledgeAnswer(runner, answer.number);
+    run_table_.acknowledgeAnswer(runner, answer.number);
     return;
   }
   if (run->has_outcome) return;
   if (answer.end == fleet::RunEnd::kImpossible) {
-    failForGood(run);
+    failPermanently(run);
   } else {
     countFailure(run, answer.number);
   }
@@ -40,10 +40,10 @@
 
 void JobExecutor::removeFromQueue(const ItemPtr& run) {
   std::erase(queue_, run);
-  std::erase(held_, run);
+  std::erase(parked_, run);
 }
 
-void JobExecutor::failForGood(const ItemPtr& run) {
+void JobExecutor::failPermanently(const ItemPtr& run) {
   if (run->running) abandonRun(*run);
   removeFromQueue(run);
   finishItem(run, ItemOutcome::kErrored);
@@ -57,8 +57,8 @@
   proposeFailures();
 }
 
-/// One proposal at a time: what fails meanwhile shares the next one. What is not taken is proposed again, by this
-/// leader from its tick or by the next one, since the stores tell it until it is kept.
+/// Proposes one entry at a time; runs that fail meanwhile share the next entry. Refused failures are proposed again by
+/// this leader from its tick, or by the next leader, since the stores report answers until they are stored.
 void JobExecutor::proposeFailures() {
   if (proposing_failures_ || failures_.empty() || !leading_) return;
   proposing_failures_ = true;
@@ -91,21 +91,21 @@
   --run->pending_failures;
   const StoredJob* job = openJob(*run);
   if (job == nullptr || run->stopped || run->has_outcome) return;
-  const auto kept = job->progress.find(run->item);
-  if (kept != job->progress.end()) run->failures = kept->second.failures;
+  const auto stored = job->progress.find(run->item);
+  if (stored != job->progress.end()) run->failures = stored->second.failures;
   ++counters_.failures_kept;
   const Route* route = routeOf(*job);
-  const std::uint32_t most = route == nullptr ? 1 : std::max<std::uint32_t>(1, route->most_attempts);
-  const bool attempts_used = route != nullptr && run->failures >= most;
+  const std::uint32_t max_attempts = route == nullptr ? 1 : std::max<std::uint32_t>(1, route->most_attempts);
+  const bool attempts_used = route != nullptr && run->failures >= max_attempts;
   logEvent(LogLevel::kInfo, "item_failure_kept",
            {{"job", run->job.value},
             {"request", run->item},
             {"run", failure.number},
             {"failures", run->failures},
-            {"most", most},
+            {"most", max_attempts},
             {"term", term_}});
   if (attempts_used) {
-    failForGood(run);
+    failPermanently(run);
     return;
   }
   if (run->running || run->pending_failures > 0) return;
--- a/src/process/store/job_executor_results.cpp
+++ b/src/process/store/job_executor_results.cpp
@@ -5,51 +5,53 @@
 #include "common/log.hpp"
 #include "process/store/job_executor.hpp"
 
-// What the group keeps of running items, and how results get into it.
+// Storing the progress of running items in the group, and proposing results.
 namespace hatchfork::store {
 
 namespace {
 
-/// How often the progress of a running item is kept.
+/// Interval at which the progress of a running item is stored.
 constexpr Duration kSaveInterval = fromMillis(1000);
-/// Text of one proposal, in bytes: as much as replicas apply in one go. Heartbeats wait while an entry is encoded, sent
-/// and applied: with the progress of a thousand items in one entry, leaders lost their quorum 15 times in 33 s.
-constexpr std::size_t kMostSavedBytes = 128 * 1024;
-/// Texts of one entry of the log, and entries that wait for the group: while it is slow, results wait here, not in it.
-constexpr std::size_t kMostListedBytes = 256 * 1024;
-constexpr std::size_t kMostResultProposals = 4;
+/// Bytes of text in one progress entry after which no further item is added. Heartbeats wait while an entry is encoded,
+/// sent and applied: with the progress of a thousand items in one entry, leaders lost their quorum 15 times in 33 s.
+constexpr std::size_t kMaxSavedBytes = 128 * 1024;
+/// Bytes of text in one result entry after which no further result is added, and number of such entries that are
+/// proposed at once: while the group is slow, results wait here and not in its log.
+constexpr std::size_t kMaxListedBytes = 256 * 1024;
+constexpr std::size_t kMaxResultProposals = 4;
 
 }  // namespace
 
-/// The next run goes on from what the group keeps.
+/// Sets the item to the progress that the group has stored, from which the next run resumes.
 void JobExecutor::loadSavedProgress(ItemRun& run) const {
   const StoredJob* job = state_->find(run.job);
-  const auto kept = job->progress.find(run.item);
-  if (kept == job->progress.end()) return;
-  run.failures = kept->second.failures;
-  if (kept->second.last_event == 0) return;
-  run.saved_event = kept->second.last_event;
-  run.saved_bytes = kept->second.text.size();
-  run.saved_chain = kept->second.chain;
+  const auto stored = job->progress.find(run.item);
+  if (stored == job->progress.end()) return;
+  run.failures = stored->second.failures;
+  if (stored->second.last_event == 0) return;
+  run.saved_event = stored->second.last_event;
+  run.saved_bytes = stored->second.text.size();
+  run.saved_chain = stored->second.chain;
   run.last_event = run.saved_event;
-  run.text = kept->second.text;
+  run.text = stored->second.text;
   run.has_text = true;
   run.events = eventsIn(run.text);
 }
 
-/// After a save: where something else is kept than what was proposed, the text goes on from that no more.
+/// Called after a save. If other progress than the proposed one is stored, the text no longer continues it.
 void JobExecutor::noteSavedProgress(ItemRun& run, std::uint64_t chain, std::uint64_t last_event) const {
   const StoredJob* job = state_->find(run.job);
   if (job == nullptr) return;
-  const auto kept = job->progress.find(run.item);
-  if (kept == job->progress.end()) return;
-  if (kept->second.chain == chain && kept->second.last_event == last_event) {
+  const auto stored = job->progress.find(run.item);
+  if (stored == job->progress.end()) return;
+  if (stored->second.chain == chain && stored->second.last_event == last_event) {
     run.saved_event = last_event;
-    run.saved_bytes = kept->second.text.size();
+    run.saved_bytes = stored->second.text.size();
     run.saved_chain = chain;
     return;
   }
-  run.diverged = run.diverged || kept->second.chain != run.saved_chain || kept->second.last_event != run.saved_event;
+  run.diverged =
+      run.diverged || stored->second.chain != run.saved_chain || stored->second.last_event != run.saved_event;
 }
 
 void JobExecutor::saveProgress(Instant now) {
@@ -57,9 +59,9 @@
   SaveProgress save;
   std::vector<ProposedProgress> saved;
   std::size_t bytes = 0;
-  // Goes on after the run that was looked at last, so that none is passed over for long.
+  // Continues after the run that was examined last, so that no run is skipped for long.
   auto next = runs_.upper_bound(last_saved_run_);
-  for (std::size_t looked_at = 0; looked_at < runs_.size() && bytes < kMostSavedBytes; ++looked_at, ++next) {
+  for (std::size_t examined = 0; examined < runs_.size() && bytes < kMaxSavedBytes; ++examined, ++next) {
     if (next == runs_.end()) next = runs_.begin();
     last_saved_run_ = next->first;
     const ItemPtr& run = next->second;
@@ -107,12 +109,12 @@
   return result;
 }
 
-void JobExecutor::listAgain(const std::vector<ProposedResult>& proposed) {
+void JobExecutor::proposeSkippedAgain(const std::vector<ProposedResult>& proposed) {
   for (const ProposedResult& entry : proposed) {
     const auto runs = items_.find(entry.run->job);
     if (runs == items_.end()) continue;
     const auto found = runs->second.find(entry.run->item);
-    // After a change of leader and back, another run stands in its place, whose text is not whole yet.
+    // After a change of leader and back, the entry is another object, whose text is not whole yet.
     const bool same_run = found != runs->second.end() && found->second == entry.run;
     if (!same_run || openJob(*entry.run) == nullptr) continue;
     results_.push_back({resultOf(*entry.run, entry.result.result.outcome, /*whole_text=*/true), entry.run});
@@ -125,12 +127,12 @@
 
 bool JobExecutor::mayProposeResults() const {
   if (proposals_running_ == 0) return true;
-  if (proposals_running_ >= kMostResultProposals) return false;
-  // What is less than a whole entry waits, since each entry costs the group a round.
+  if (proposals_running_ >= kMaxResultProposals) return false;
+  // Less than a whole entry waits, since each entry costs the group a round of replication.
   std::size_t bytes = 0;
   for (const ProposedResult& entry : results_) {
     bytes += entry.result.result.text.size();
-    if (bytes >= kMostListedBytes) return true;
+    if (bytes >= kMaxListedBytes) return true;
   }
   return false;
 }
@@ -138,7 +140,7 @@
 std::vector<JobExecutor::ProposedResult> JobExecutor::takeNextResults() {
   std::size_t bytes = 0;
   auto end = results_.begin();
-  while (end != results_.end() && bytes < kMostListedBytes) {
+  while (end != results_.end() && bytes < kMaxListedBytes) {
     bytes += end->result.result.text.size();
     ++end;
   }
@@ -153,16 +155,16 @@
   ListResults command;
   for (const ProposedResult& entry : *proposed) command.results.push_back(entry.result);
   propose_(std::move(command), [this, alive = alive_, proposed, term = term_](bool applied) {
-    // What was proposed in an earlier leadership is left to the runs of this one.
+    // Results that were proposed in an earlier leadership are left to the runs of the current one.
     if (!*alive || !leading_ || term != term_) return;
     --proposals_running_;
-    // A result that was not taken is proposed again later, since this may be called from within the proposal; one that
-    // was taken after all is passed over.
+    // A refused result is proposed again later and not here, since this may be called from within the proposal. If it
+    // was applied after all, the state skips it the second time.
     if (!applied) {
       refused_results_.insert(refused_results_.end(), proposed->begin(), proposed->end());
       return;
     }
-    listAgain(*proposed);
+    proposeSkippedAgain(*proposed);
     proposeResults();
   });
 }
--- a/src/process/store/job_executor_runs.cpp
+++ b/src/process/store/job_executor_runs.cpp
@@ -7,7 +7,7 @@
 #include "connection/asio.hpp"
 #include "process/store/job_executor.hpp"
 
-// The runs that are ordered from stores, and what follows from their ends.
+// Ordering runs from stores, and handling of their reports and ends.
 namespace hatchfork::store {
 
 using connection::monotonicNow;
@@ -18,13 +18,14 @@
 
 constexpr Duration kRetryAfterFailure = fromMillis(150);
 constexpr Duration kRetryAfterDecline = fromMillis(80);
-constexpr Duration kRetryAfterYield = fromMillis(200);
-/// Chains are drawn below 2^53, so that they stay exact in every reader of JSON.
+constexpr Duration kRetryAfterPreemption = fromMillis(200);
+/// Reduces random numbers to less than 2^53, so that names of chains are exact in every JSON reader.
 constexpr unsigned kChainShift = 11;
-/// A run whose store has fallen silent may still be in flight there for the rest of its lease.
+/// Delay of the next run after a run was lost with a silent store, where it may still be in flight until its lease
+/// expires.
 constexpr Duration kRetryAfterLoss = fromMillis(300);
 
-/// Ends of runs that nobody takes: what an engine answered there is known to no leader.
+/// Logs the ends of runs that this leader ignores, so that engine answers no leader received can be found.
 void logIgnored(const fleet::RunReport& report, const std::vector<fleet::RunNews>& ignored, std::string_view cause) {
   for (const fleet::RunNews& news : ignored) {
     if (!news.ended) continue;
@@ -41,16 +42,16 @@
 
 void JobExecutor::startRun(Instant now, const ItemPtr& run, const StoredJob& job, const EngineChoice& choice,
                            const request::EngineQuery& query, const request::TroughVerdict& verdict) {
-  const ReplicaId runner = board_.chooseRunner(now, choice.engine.zone).value_or(options_.self);
+  const ReplicaId runner = run_table_.chooseRunner(now, choice.engine.zone).value_or(options_.self);
   run->running = true;
-  // Two runs of an item may be in flight at two stores for a moment, so each one's text has a name of its own.
+  // Two runs of an item may be in flight at two stores for a moment, so the text of each has a name of its own.
   run->chain = chains_() >> kChainShift;
   run->first_event_at = Instant{};
   run->events_before = run->events;
   run->engine = choice.engine.id;
-  run->number = board_.begin(now, runner);
+  run->number = run_table_.begin(now, runner);
   run->ticket = selector_.begin(now, choice.engine.id, query);
-  run->begun_at = now;
+  run->started_at = now;
   const Duration time_left = run_times_.timeLeft(run->events);
   trough_.noteBegun({choice.engine.service, choice.engine.zone, time_left});
   if (sharesFairly()) {
@@ -101,21 +102,21 @@
             {"turn", fmt::format("{:.2f}", run->turn)},
             {"version", routes_->version()}});
   if (send_(runner, fleet::FleetMessage(std::move(order)))) return;
-  board_.avoid(now, runner);
-  board_.stop(run->number);
-  endRun(run, RunEnd::kDeclined, EngineVerdict::kNeutral, "runner out of reach");
+  run_table_.avoid(now, runner);
+  run_table_.stop(run->number);
+  endRun(run, RunEnd::kDeclined, EngineVerdict::kNeutral, "runner unreachable");
 }
 
 void JobExecutor::abandonRun(ItemRun& run) {
   if (run.is_suspect) crashes_.noteEnded(monotonicNow(), run.content, run.engine);
-  board_.stop(run.number);
+  run_table_.stop(run.number);
   selector_.end(monotonicNow(), run.ticket, EngineVerdict::kNeutral);
   runs_.erase(run.number);
   run.running = false;
 }
 
 void JobExecutor::sendLeases(Instant now) {
-  for (auto& [runner, content] : board_.takeLeases(now)) {
+  for (auto& [runner, content] : run_table_.takeLeases(now)) {
     fleet::RunLease lease{options_.self, term_, std::move(content.stopped), std::move(content.kept_answers)};
     send_(runner, fleet::FleetMessage(std::move(lease)));
   }
@@ -123,12 +124,12 @@
 
 void JobExecutor::take(const fleet::RunReport& report) {
   if (!leading_ || report.term != term_) {
-    logIgnored(report, report.news, leading_ ? "older term" : "not leading");
+    logIgnored(report, report.news, leading_ ? "report of another term" : "this store is not the leader");
     return;
   }
-  heard_stores_.insert(report.from);
-  const CheckedReport checked = board_.check(monotonicNow(), report);
-  logIgnored(report, checked.ignored, "run not held, or a report before it is missing");
+  reported_stores_.insert(report.from);
+  const CheckedReport checked = run_table_.check(monotonicNow(), report);
+  logIgnored(report, checked.ignored, "run is not in this leader's table, or an earlier report is missing");
   for (const fleet::RunNews& news : checked.news) {
     const auto found = runs_.find(news.number);
     if (found == runs_.end()) continue;
@@ -145,9 +146,9 @@
   const Instant now = monotonicNow();
   std::size_t adopted = 0;
   for (const fleet::OfferedRun& offered : offer.runs) {
-    const ItemPtr run = itemWanting(offered);
+    const ItemPtr run = itemForOffer(offered);
     if (!run) {
-      if (!offered.ended) board_.refuse(offer.from, offered.number);
+      if (!offered.ended) run_table_.refuse(offer.from, offered.number);
       continue;
     }
     adoptRun(now, offer.from, run, offered);
@@ -157,10 +158,10 @@
   logEvent(LogLevel::kInfo, "runs_adopted",
            {{"runner", offer.from.value}, {"term", term_}, {"offered", offer.runs.size()}, {"adopted", adopted}});
   std::erase_if(queue_, [](const ItemPtr& run) { return run->running || run->has_outcome; });
-  std::erase_if(held_, [](const ItemPtr& run) { return run->running || run->has_outcome; });
+  std::erase_if(parked_, [](const ItemPtr& run) { return run->running || run->has_outcome; });
 }
 
-JobExecutor::ItemPtr JobExecutor::itemWanting(const fleet::OfferedRun& offered) const {
+JobExecutor::ItemPtr JobExecutor::itemForOffer(const fleet::OfferedRun& offered) const {
   const auto job = items_.find(offered.job);
   if (job == items_.end()) return nullptr;
   const auto found = job->second.find(offered.item);
@@ -170,8 +171,8 @@
   return is_free && openJob(*run) != nullptr ? run : nullptr;
 }
 
-/// The offered text is whole, so it replaces what the group keeps; that it goes on from what is kept is known only
-/// where that was reported by this very run, or nothing was kept since it was ordered.
+/// The offered text is complete up to its last event, so it replaces the stored progress. It is certain to continue the
+/// stored progress only if that was reported by this same run, or if none was stored since the run was ordered.
 void JobExecutor::adoptRun(Instant now, const ReplicaId& runner, const ItemPtr& run, const fleet::OfferedRun& offered) {
   const bool same_run = run->saved_chain == offered.chain && run->saved_event <= offered.last_event;
   const bool nothing_since = run->saved_chain == offered.saved_chain && run->saved_event == offered.saved_event;
@@ -196,7 +197,7 @@
     return;
   }
   if (offered.has_text) selector_.noteFirstByte(now, run->ticket);
-  board_.adopt(now, runner, offered.number, offered.sequence);
+  run_table_.adopt(now, runner, offered.number, offered.sequence);
 }
 
 void JobExecutor::takeNews(const ItemPtr& run, const fleet::RunNews& news) {
@@ -209,7 +210,7 @@
     selector_.noteFirstByte(now, run->ticket);
     run->text += news.text;
     run->has_text = true;
-    // Text that no event names can't be gone on from: a run that breaks begins anew.
+    // Text without an event identifier can't be resumed: after a break the item starts from the beginning.
     run->last_event.reset();
   }
   if (news.last_event > 0) run->last_event = news.last_event;
@@ -231,7 +232,7 @@
     const auto found = runs_.find(number);
     if (found == runs_.end()) continue;
     const ItemPtr run = found->second;
-    endRun(run, RunEnd::kBroken, EngineVerdict::kNeutral, "runner silent");
+    endRun(run, RunEnd::kBroken, EngineVerdict::kNeutral, "no report from the runner in time, or a report was lost");
     run->not_before = monotonicNow() + kRetryAfterLoss;
   }
 }
@@ -242,7 +243,7 @@
   if (run->is_suspect) crashes_.noteEnded(now, run->content, run->engine);
   notePace(now, *run);
   if (run->share.work > 0) {
-    shares_.correct(run->tenant, toSeconds(now - run->begun_at) * 1000 - run->share.work);
+    shares_.correct(run->tenant, toSeconds(now - run->started_at) * 1000 - run->share.work);
     run->share = request::Turn{};
   }
   if (end == RunEnd::kWhole) run_times_.noteWhole(run->events);
@@ -262,7 +263,7 @@
             {"cause", cause},
             {"failures", run->failures},
             {"last_event", run->last_event.value_or(0)}});
-  // A declined run says nothing of the close before it.
+  // A declined run gives no information on the closed connection before it.
   if (end != RunEnd::kDeclined) run->after_close = end == RunEnd::kClosed;
   const StoredJob* job = openJob(*run);
   if (end == RunEnd::kStopped || run->stopped || job == nullptr || !leading_) return;
@@ -272,7 +273,7 @@
       finishItem(run, ItemOutcome::kCompleted);
       return;
     case RunEnd::kImpossible:
-      failForGood(run);
+      failPermanently(run);
       return;
     case RunEnd::kFailed:
       countFailure(run, run->number);
@@ -282,14 +283,14 @@
       break;
     case RunEnd::kYielded:
       ++counters_.yielded;
-      run->not_before = now + kRetryAfterYield;
+      run->not_before = now + kRetryAfterPreemption;
       break;
     case RunEnd::kBroken:
     case RunEnd::kClosed:
     case RunEnd::kStopped:
       ++counters_.broken;
       run->not_before = now + kRetryAfterFailure;
-      // Without event identifiers a later run can't go on where this one broke off.
+      // Without event identifiers a later run can't resume where this one was interrupted.
       if (!run->last_event) {
         run->saved_bytes = 0;
         run->text.clear();
--- a/src/process/store/job_executor_trough.cpp
+++ b/src/process/store/job_executor_trough.cpp
@@ -5,7 +5,8 @@
 #include "common/log.hpp"
 #include "process/store/job_executor.hpp"
 
-// Which item begins next and where its place stays free, and which run gives way.
+// Order of the queue, choice of zones whose capacity remains free, and preemption of runs. A trough is the part of a
+// load cycle (periodic load) in which online requests leave engine slots free.
 namespace hatchfork::store {
 
 using request::EngineQuery;
@@ -13,8 +14,8 @@
 namespace {
 
 constexpr Duration kPlanInterval = fromMillis(50);
-/// What is told of online load counts for this long.
-constexpr Duration kLoadsKnownFor = fromMillis(1000);
+/// Reported online load expires after this time.
+constexpr Duration kLoadLifetime = fromMillis(1000);
 constexpr Duration kWaitLogInterval = std::chrono::seconds(1);
 
 std::int64_t periodOf(const request::TroughVerdict& verdict) {
@@ -42,11 +43,11 @@
 void JobExecutor::noteOthers(Instant now, const std::vector<request::EngineShare>& others) {
   selector_.noteOthers(now, others);
   if (!plansTrough()) return;
-  trough_noted_at_ = now;
+  last_load_report_ = now;
   for (const ServiceId& service : batch_services_) trough_.noteLoad(now, service, selector_.zoneLoads(now, service));
 }
 
-std::optional<request::RunInFlight> JobExecutor::flightOf(const ItemRun& run) const {
+std::optional<request::RunInFlight> JobExecutor::runInFlightOf(const ItemRun& run) const {
   const EngineRecord* engine = selector_.recordOf(run.engine);
   if (engine == nullptr) return std::nullopt;
   return request::RunInFlight{engine->service, engine->zone, run_times_.timeLeft(run.events)};
@@ -57,12 +58,12 @@
   next_plan_ = now + kPlanInterval;
   std::vector<request::RunInFlight> runs;
   for (const auto& [number, run] : runs_) {
-    if (const auto flight = flightOf(*run)) runs.push_back(*flight);
+    if (const auto flight = runInFlightOf(*run)) runs.push_back(*flight);
   }
   std::vector<request::WaitingItem> waiting;
   std::vector<ItemPtr> items;
   for (const ItemPtr& run : queue_) {
-    // An item that is due at no time presses none.
+    // An item without a due time exerts no pressure.
     if (run->due == Instant::max()) continue;
     waiting.push_back({run->service, run->order});
     items.push_back(run);
@@ -81,7 +82,7 @@
   if (sharesFairly()) orderByShare(now);
 }
 
-/// Items keep the order of their due times within a tenant, and where their service has room for all of them.
+/// Items stay in the order of their due times within a tenant, and where their service has capacity for all of them.
 void JobExecutor::orderByShare(Instant now) {
   std::map<TenantId, double> work_before;
   for (const ItemPtr& run : queue_) {
@@ -102,9 +103,9 @@
 
 bool JobExecutor::fitsTrough(Instant now, const ItemRun& run, EngineQuery& query, request::TroughVerdict& verdict) {
   const bool is_planned = options_.load.batch_by_slack && run.due != Instant::max() && trough_.knows(query.service);
-  // Old news hold nothing back, and the most pressing items take what is free now, wherever that is.
-  const bool is_old = now > trough_noted_at_ + kLoadsKnownFor;
-  // What is late already has no slack to wait with, and would be left lying where no room lasts.
+  // Outdated load reports delay no item, and the most pressing items use any slot that is free now.
+  const bool is_old = now > last_load_report_ + kLoadLifetime;
+  // An item that is already late has no slack, and would never start if no capacity remained free for long enough.
   const bool is_late = request::isHopeless(now, run.order);
   if (!is_planned || is_old || is_late || run.pressing >= 1) return true;
   verdict = trough_.judge(query.service, run_times_.timeLeft(run.events), run.pressing, query.zones);
@@ -136,7 +137,7 @@
             {"pressing", fmt::format("{:.2f}", run.pressing)}});
 }
 
-std::map<EngineId, double> JobExecutor::runsTooMany(Instant now) {
+std::map<EngineId, double> JobExecutor::excessRuns(Instant now) {
   std::map<EngineId, double> excess;
   for (const request::EngineShare& share : selector_.ownShares(now)) {
     const double above = selector_.excess(now, share.engine);
@@ -145,7 +146,7 @@
   return excess;
 }
 
-JobExecutor::ItemPtr JobExecutor::runToYield(Instant now, const std::vector<ItemPtr>& runs, Duration needed_within) {
+JobExecutor::ItemPtr JobExecutor::runToPreempt(Instant now, const std::vector<ItemPtr>& runs, Duration needed_within) {
   std::vector<request::YieldCandidate> candidates;
   for (const ItemPtr& run : runs) {
     run->order = dueItemOf(*run);
@@ -157,7 +158,7 @@
   }
   ItemPtr chosen;
   for (const ItemPtr& run : runs) {
-    // A run without an event would begin anew.
+    // A run without an event would start from the beginning.
     const bool loses_less = chosen && run->last_event.has_value() != chosen->last_event.has_value()
                                 ? run->last_event.has_value()
                                 : chosen && request::goesBefore(now, chosen->order, run->order);
@@ -166,27 +167,27 @@
   return chosen;
 }
 
-void JobExecutor::yieldSlots(Instant now) {
-  if (now < next_yield_) return;
-  next_yield_ = now + kYieldInterval;
-  const std::map<EngineId, double> excess = runsTooMany(now);
+void JobExecutor::preemptExcessRuns(Instant now) {
+  if (now < next_preemption_) return;
+  next_preemption_ = now + kPreemptionInterval;
+  const std::map<EngineId, double> excess = excessRuns(now);
   if (excess.empty()) return;
   std::map<EngineId, std::vector<ItemPtr>> candidates;
   for (const auto& [number, run] : runs_) {
-    // Only a run that can go on after an event loses nothing but the reading of its prompt.
+    // Only a run that can resume after an event loses no more than the prefill of its prompt.
     if (run->last_event && excess.contains(run->engine)) candidates[run->engine].push_back(run);
   }
   for (auto& [engine, runs] : candidates) {
     for (double above = excess.at(engine); above >= 1; above -= 1) {
-      const ItemPtr chosen = runToYield(now, runs, kYieldInterval);
+      const ItemPtr chosen = runToPreempt(now, runs, kPreemptionInterval);
       if (!chosen) break;
       std::erase(runs, chosen);
-      yieldRun(chosen, "engine above its slots");
+      preemptRun(chosen, "engine has more requests than slots");
     }
   }
 }
 
-void JobExecutor::yieldRun(const ItemPtr& run, const std::string& cause) {
+void JobExecutor::preemptRun(const ItemPtr& run, const std::string& cause) {
   const Instant now = connection::monotonicNow();
   logEvent(LogLevel::kInfo, "run_gave_way",
            {{"job", run->job.value},
@@ -197,7 +198,7 @@
             {"events", run->events},
             {"slack_ms", toMillis(request::slackOf(now, run->order))},
             {"time_left_ms", toMillis(run->order.time_left)}});
-  board_.stop(run->number);
+  run_table_.stop(run->number);
   endRun(run, RunEnd::kYielded, request::EngineVerdict::kNeutral, cause);
 }
 
@@ -208,9 +209,9 @@
   for (const auto& [number, run] : runs_) {
     if (run->engine == engine) runs.push_back(run);
   }
-  const ItemPtr chosen = runToYield(now, runs, kGiveWayTime);
+  const ItemPtr chosen = runToPreempt(now, runs, kPreemptionTime);
   if (!chosen) return;
-  yieldRun(chosen, "online request placed");
+  preemptRun(chosen, "slot needed for an online request");
   sendLeases(now);
 }
 
--- a/src/process/store/kept_crashes.cpp
+++ b/src/process/store/kept_crashes.cpp
@@ -5,16 +5,16 @@
 namespace hatchfork::store {
 namespace {
 
-/// Requests that are kept, of some 200 bytes each.
-constexpr std::size_t kMostRequests = 1000;
-/// As long as a request is refused at the most.
-constexpr WallMillis kKeptForMs = 6LL * 3600 * 1000;
+/// Maximum number of requests, of some 200 bytes each.
+constexpr std::size_t kMaxRequests = 1000;
+/// Equals the longest time for which a request is refused.
+constexpr WallMillis kRetentionMs = 6LL * 3600 * 1000;
 
 }  // namespace
 
-WallMillis KeptCrashes::lastOf(const Ends& ends) {
+WallMillis KeptCrashes::lastCrashAt(const EngineCrashes& engine_crashes) {
   WallMillis last = 0;
-  for (const auto& [engine, end] : ends) last = std::max(last, end.ended_at);
+  for (const auto& [engine, end] : engine_crashes) last = std::max(last, end.ended_at);
   return last;
 }
 
@@ -22,20 +22,20 @@
   bool is_new = false;
   WallMillis newest = 0;
   for (const KeptCrash& crash : crashes) {
-    is_new = crashes_[crash.content].emplace(crash.engine, End{crash.ended_at, crash.ran_ms}).second || is_new;
+    is_new = crashes_[crash.content].emplace(crash.engine, EngineCrash{crash.ended_at, crash.ran_ms}).second || is_new;
     newest = std::max(newest, crash.ended_at);
   }
   if (!is_new) return false;
-  makeRoom(newest);
+  evict(newest);
   ++version_;
   return true;
 }
 
-void KeptCrashes::makeRoom(WallMillis newest) {
-  std::erase_if(crashes_, [newest](const auto& entry) { return lastOf(entry.second) + kKeptForMs < newest; });
-  while (crashes_.size() > kMostRequests) {
+void KeptCrashes::evict(WallMillis newest) {
+  std::erase_if(crashes_, [newest](const auto& entry) { return lastCrashAt(entry.second) + kRetentionMs < newest; });
+  while (crashes_.size() > kMaxRequests) {
     const auto oldest = std::min_element(crashes_.begin(), crashes_.end(), [](const auto& left, const auto& right) {
-      return lastOf(left.second) < lastOf(right.second);
+      return lastCrashAt(left.second) < lastCrashAt(right.second);
     });
     crashes_.erase(oldest);
   }
@@ -48,8 +48,8 @@
 
 std::vector<KeptCrash> KeptCrashes::all() const {
   std::vector<KeptCrash> all;
-  for (const auto& [content, ends] : crashes_) {
-    for (const auto& [engine, end] : ends) all.push_back({content, engine, end.ended_at, end.ran_ms});
+  for (const auto& [content, engine_crashes] : crashes_) {
+    for (const auto& [engine, end] : engine_crashes) all.push_back({content, engine, end.ended_at, end.ran_ms});
   }
   return all;
 }
--- a/src/process/store/kept_crashes.hpp
+++ b/src/process/store/kept_crashes.hpp
@@ -12,46 +12,47 @@
 
 namespace hatchfork::store {
 
-/// An engine ended under a request that is refused for that. The time is the wall clock's, since it outlives processes.
+/// A crash of an engine during a request that is refused because of it. The time is wall-clock time, since the record
+/// outlives processes.
 struct KeptCrash {
   request::RequestFingerprint content;
   EngineId engine;
   WallMillis ended_at = 0;
-  /// How long the request had been at the engine.
+  /// Time for which the request had been at the engine, in milliseconds.
   std::int64_t ran_ms = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(KeptCrash, content, engine, ended_at, ran_ms)
 
-/// Keeps crashes, so that they are known after all processes have ended at once.
+/// Log command that stores crashes, so that they survive a simultaneous exit of all processes.
 struct KeepCrashes {
   static constexpr std::string_view kKind = "crashes";
   std::vector<KeptCrash> crashes;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(KeepCrashes, crashes)
 
-/// The crashes that a group keeps: bounded, equal at all replicas. What is too old to matter gives way, and beyond the
-/// bound the requests whose last crash is the oldest.
+/// The crashes that a store group has stored: bounded, and equal at all replicas. Requests are evicted once their last
+/// crash has expired; beyond the bound, those whose last crash is the oldest are evicted first.
 class KeptCrashes {
  public:
-  /// True if one of them was not kept.
+  /// Returns true if at least one of the crashes was not stored before.
   bool add(const std::vector<KeptCrash>& crashes);
   bool contains(const request::RequestFingerprint& content, const EngineId& engine) const;
   std::vector<KeptCrash> all() const;
   std::size_t requests() const { return crashes_.size(); }
-  /// Changes whenever something is added.
+  /// Increases whenever crashes are added.
   std::uint64_t version() const { return version_; }
 
  private:
-  struct End {
+  struct EngineCrash {
     WallMillis ended_at = 0;
     std::int64_t ran_ms = 0;
   };
-  using Ends = std::map<EngineId, End>;
+  using EngineCrashes = std::map<EngineId, EngineCrash>;
 
-  static WallMillis lastOf(const Ends& ends);
-  void makeRoom(WallMillis newest);
+  static WallMillis lastCrashAt(const EngineCrashes& engine_crashes);
+  void evict(WallMillis newest);
 
-  std::map<request::RequestFingerprint, Ends> crashes_;
+  std::map<request::RequestFingerprint, EngineCrashes> crashes_;
   std::uint64_t version_ = 0;
 };
 
--- a/src/process/store/run_board.cpp
+++ b/src/process/store/run_board.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// The upper part of a run's number is its term.
+/// The upper bits of a run's number are its term.
 constexpr unsigned kTermShift = 32;
 
 }  // namespace
 
 void RunBoard::startTerm(Instant now, std::uint64_t term) {
   clear();
-  // Numbers go on rising where the same term begins once more.
+  // Numbers continue to increase if the same term begins again.
   last_number_ = std::max(last_number_, term << kTermShift);
-  announced_until_ = now + limits_.announced_for;
+  announced_until_ = now + limits_.announcement_time;
   next_lease_ = now;
   next_reminder_ = announced_until_;
 }
@@ -26,8 +26,8 @@
 }
 
 std::size_t RunBoard::runningAt(const ReplicaId& runner) const {
-  const auto found = at_.find(runner);
-  return found == at_.end() ? 0 : found->second.runs.size();
+  const auto found = stores_.find(runner);
+  return found == stores_.end() ? 0 : found->second.runs.size();
 }
 
 bool RunBoard::isAvoided(Instant now, const ReplicaId& runner) const {
@@ -35,7 +35,7 @@
   return avoided != avoided_until_.end() && now < avoided->second;
 }
 
-std::optional<ReplicaId> RunBoard::fewestRuns(Instant now, const ZoneId* zone, std::size_t limit) const {
+std::optional<ReplicaId> RunBoard::storeWithFewestRuns(Instant now, const ZoneId* zone, std::size_t limit) const {
   std::optional<ReplicaId> best;
   std::size_t fewest = limit;
   for (const auto& [runner, its_zone] : runners_) {
@@ -51,33 +51,33 @@
 
 std::optional<ReplicaId> RunBoard::chooseRunner(Instant now, const ZoneId& zone) const {
   const std::size_t here = runningAt(self_);
-  if (runs_.size() < limits_.local_runs && here < limits_.most_runs) return self_;
+  if (runs_.size() < limits_.local_runs && here < limits_.max_runs) return self_;
   const double mean = static_cast<double>(runs_.size()) / std::max<double>(1, static_cast<double>(runners_.size()));
-  const auto even = static_cast<std::size_t>(limits_.most_above_mean * mean) + limits_.slack_above_mean;
-  if (auto near = fewestRuns(now, &zone, std::min(even, limits_.most_runs))) return near;
-  if (auto any = fewestRuns(now, nullptr, limits_.most_runs)) return any;
-  if (here < limits_.most_runs) return self_;
+  const auto even_share = static_cast<std::size_t>(limits_.max_ratio_to_mean * mean) + limits_.slack_above_mean;
+  if (auto near = storeWithFewestRuns(now, &zone, std::min(even_share, limits_.max_runs))) return near;
+  if (auto any = storeWithFewestRuns(now, nullptr, limits_.max_runs)) return any;
+  if (here < limits_.max_runs) return self_;
   return std::nullopt;
 }
 
 std::uint64_t RunBoard::begin(Instant now, const ReplicaId& runner) {
   const std::uint64_t number = ++last_number_;
   runs_[number] = Run{runner, now, 0};
-  Runner& entry = at_[runner];
-  if (entry.runs.empty()) entry.heard_at = now;
+  Runner& entry = stores_[runner];
+  if (entry.runs.empty()) entry.last_report_at = now;
   entry.runs.insert(number);
   return number;
 }
 
 void RunBoard::adopt(Instant now, const ReplicaId& runner, std::uint64_t number, std::uint64_t sequence) {
   runs_[number] = Run{runner, now, sequence};
-  Runner& entry = at_[runner];
-  entry.heard_at = now;
+  Runner& entry = stores_[runner];
+  entry.last_report_at = now;
   entry.runs.insert(number);
 }
 
 void RunBoard::avoid(Instant now, const ReplicaId& runner) {
-  avoided_until_[runner] = now + limits_.avoided_for;
+  avoided_until_[runner] = now + limits_.avoidance_time;
 }
 
 CheckedReport RunBoard::check(Instant now, const fleet::RunReport& report) {
@@ -86,13 +86,13 @@
     const auto run = runs_.find(number);
     if (run == runs_.end() || run->second.runner != report.from) refuse(report.from, number);
   }
-  const auto runner = at_.find(report.from);
-  if (runner == at_.end()) {
+  const auto runner = stores_.find(report.from);
+  if (runner == stores_.end()) {
     checked.ignored = report.news;
     return checked;
   }
-  runner->second.heard_at = now;
-  std::set<std::uint64_t> known(report.running.begin(), report.running.end());
+  runner->second.last_report_at = now;
+  std::set<std::uint64_t> reported(report.running.begin(), report.running.end());
   for (const fleet::RunNews& news : report.news) {
     const auto run = runs_.find(news.number);
     if (run == runs_.end() || run->second.runner != report.from) {
@@ -101,18 +101,18 @@
     }
     if (news.sequence != run->second.sequence + 1) {
       checked.ignored.push_back(news);
-      known.erase(news.number);
+      reported.erase(news.number);
       continue;
     }
     run->second.sequence = news.sequence;
     checked.news.push_back(news);
     if (news.ended) forget(news.number);
   }
-  const auto still = at_.find(report.from);
-  if (still == at_.end()) return checked;
-  for (const std::uint64_t number : std::set<std::uint64_t>(still->second.runs)) {
-    const bool young = now < runs_.at(number).ordered_at + limits_.order_lost_after;
-    if (known.contains(number) || (young && runs_.at(number).sequence == 0)) continue;
+  const auto current = stores_.find(report.from);
+  if (current == stores_.end()) return checked;
+  for (const std::uint64_t number : std::set<std::uint64_t>(current->second.runs)) {
+    const bool is_recent = now < runs_.at(number).ordered_at + limits_.order_timeout;
+    if (reported.contains(number) || (is_recent && runs_.at(number).sequence == 0)) continue;
     checked.lost.push_back(number);
     stop(number);
   }
@@ -121,8 +121,8 @@
 
 std::vector<std::uint64_t> RunBoard::takeLost(Instant now) {
   std::vector<std::uint64_t> lost;
-  for (const auto& [id, runner] : at_) {
-    if (id == self_ || now <= runner.heard_at + limits_.silence) continue;
+  for (const auto& [id, runner] : stores_) {
+    if (id == self_ || now <= runner.last_report_at + limits_.silence_timeout) continue;
     lost.insert(lost.end(), runner.runs.begin(), runner.runs.end());
     avoid(now, id);
   }
@@ -133,38 +133,38 @@
 void RunBoard::stop(std::uint64_t number) {
   const auto run = runs_.find(number);
   if (run == runs_.end()) return;
-  next_[run->second.runner].stopped.push_back(number);
+  next_leases_[run->second.runner].stopped.push_back(number);
   forget(number);
 }
 
 void RunBoard::forget(std::uint64_t number) {
   const auto run = runs_.find(number);
   if (run == runs_.end()) return;
-  const auto runner = at_.find(run->second.runner);
-  if (runner != at_.end()) {
+  const auto runner = stores_.find(run->second.runner);
+  if (runner != stores_.end()) {
     runner->second.runs.erase(number);
-    if (runner->second.runs.empty()) at_.erase(runner);
+    if (runner->second.runs.empty()) stores_.erase(runner);
   }
   runs_.erase(run);
 }
 
 std::map<ReplicaId, LeaseContent> RunBoard::takeLeases(Instant now) {
-  std::map<ReplicaId, LeaseContent> leases = std::exchange(next_, {});
+  std::map<ReplicaId, LeaseContent> leases = std::exchange(next_leases_, {});
   if (now < next_lease_) return leases;
-  const bool announces = now < announced_until_;
-  const bool reminds = now >= next_reminder_;
-  if (reminds) next_reminder_ = now + limits_.reminder_interval;
-  next_lease_ = now + (announces ? limits_.announce_interval : limits_.lease_interval);
-  for (const auto& [id, runner] : at_) leases.try_emplace(id);
-  if (!announces && !reminds) return leases;
+  const bool is_announcing = now < announced_until_;
+  const bool is_reminder_due = now >= next_reminder_;
+  if (is_reminder_due) next_reminder_ = now + limits_.reminder_interval;
+  next_lease_ = now + (is_announcing ? limits_.announce_interval : limits_.lease_interval);
+  for (const auto& [id, runner] : stores_) leases.try_emplace(id);
+  if (!is_announcing && !is_reminder_due) return leases;
   for (const auto& [runner, zone] : runners_) leases.try_emplace(runner);
   return leases;
 }
 
 void RunBoard::clear() {
   runs_.clear();
-  at_.clear();
-  next_.clear();
+  stores_.clear();
+  next_leases_.clear();
 }
 
 }  // namespace hatchfork::store
--- a/src/process/store/run_board.hpp
+++ b/src/process/store/run_board.hpp
@@ -13,82 +13,88 @@
 
 namespace hatchfork::store {
 
+/// Limits and intervals of a `RunBoard`.
 struct RunBoardLimits {
-  /// While there are fewer runs than this in all, the leader keeps them to itself: one process is woken, not many.
+  /// While fewer runs than this are in flight in total, the leader runs them itself, so that only one process is woken.
   std::size_t local_runs = 40;
-  /// A store in the engine's zone is preferred while it has no more than this many times the mean, and these more.
-  double most_above_mean = 1.5;
+  /// A store in the engine's zone is preferred while its number of runs is at most `max_ratio_to_mean` times the mean
+  /// plus `slack_above_mean`.
+  double max_ratio_to_mean = 1.5;
   std::size_t slack_above_mean = 4;
-  /// Most runs of one store.
-  std::size_t most_runs = 400;
-  /// Reports come several times in this time; a store that is silent for longer has lost its runs.
-  Duration silence = fromMillis(1000);
-  /// An order that the store does not report as running after this long was lost.
-  Duration order_lost_after = fromMillis(700);
-  /// A store that fell silent gets no orders for this long.
-  Duration avoided_for = fromMillis(3000);
-  /// Interval of the signs of life to stores that run items.
+  /// Maximum number of runs of one store.
+  std::size_t max_runs = 400;
+  /// Stores send several reports within this time; the runs of a store that is silent for longer are lost.
+  Duration silence_timeout = fromMillis(1000);
+  /// An order that the store does not report as running after this long counts as lost.
+  Duration order_timeout = fromMillis(700);
+  /// A store that fell silent or is unreachable gets no orders for this long.
+  Duration avoidance_time = fromMillis(3000);
+  /// Interval of the heartbeats to stores that run items.
   Duration lease_interval = fromMillis(250);
-  /// A new leader tells all stores of itself for this long, so that they offer it what they run, and this often.
-  Duration announced_for = fromMillis(1500);
+  /// A new leader announces itself to all stores for `announcement_time`, once per `announce_interval`, so that they
+  /// offer it their runs.
+  Duration announcement_time = fromMillis(1500);
   Duration announce_interval = fromMillis(50);
-  /// Later it does so more seldom, for a store that was out of reach and has answers to tell.
+  /// Interval of later announcements, for stores that were unreachable and have answers to report.
   Duration reminder_interval = fromMillis(1000);
 };
 
-/// What a report says, checked against what was ordered.
+/// The contents of a report, checked against the orders of this leader.
 struct CheckedReport {
   std::vector<fleet::RunNews> news;
-  /// News of runs that this table does not hold any more, or that follow on a lost report.
+  /// News of runs that are no longer in this table, or that follow a lost report.
   std::vector<fleet::RunNews> ignored;
-  /// Orders that the store does not know, and runs of which a report was lost.
+  /// Orders that did not reach the store, and runs of which a report was lost.
   std::vector<std::uint64_t> lost;
 };
 
-/// What a lease tells a store.
+/// Contents of a lease, by run number.
 struct LeaseContent {
+  /// Runs that the store has to abort.
   std::vector<std::uint64_t> stopped;
+  /// Runs of which the group has stored the answer.
   std::vector<std::uint64_t> kept_answers;
 };
 
 /// The leader's table of the runs that it has ordered: at which store each is in flight, and which are lost. No I/O, no
-/// clock. Belongs to one thread.
+/// clock. Not thread-safe.
 ///
-/// Invariant: news of a run are passed on in their order without a gap, or the run counts as lost.
+/// Invariant: the news of a run are returned in order and without a gap, or the run counts as lost.
 class RunBoard {
  public:
   RunBoard(ReplicaId self, RunBoardLimits limits) : self_(std::move(self)), limits_(limits) {}
 
-  /// A leadership begins: nothing is in flight as far as it knows. Numbers of runs differ from all earlier ones.
+  /// Starts a leadership with an empty table. The numbers of its runs differ from all earlier ones.
   void startTerm(Instant now, std::uint64_t term);
-  /// Stores that may run items, this one included or not.
+  /// Sets the stores that may run items, by zone; may or may not include this store.
   void setRunners(std::map<ReplicaId, ZoneId> runners);
   const std::map<ReplicaId, ZoneId>& runners() const { return runners_; }
-  /// Where the next run goes, whose engine is in `zone`: here while few are in flight in all; else to the store with
-  /// the fewest, one in that zone before others, so that its stream crosses zones once and not twice. Nothing if all
-  /// are full.
+  /// Chooses the store for the next run, whose engine is in `zone`: this store while few runs are in flight in total;
+  /// else the store with the fewest runs, preferably in that zone, so that the stream crosses zones once and not twice.
+  /// Empty if all stores are full.
   std::optional<ReplicaId> chooseRunner(Instant now, const ZoneId& zone) const;
-  /// Notes an order; returns its number.
+  /// Adds a run that is ordered from `runner`; returns its number.
   std::uint64_t begin(Instant now, const ReplicaId& runner);
-  /// Takes up a run that an earlier leader ordered; its news go on after `sequence`.
+  /// Adds a run that an earlier leader ordered; its next news have the number `sequence` + 1.
   void adopt(Instant now, const ReplicaId& runner, std::uint64_t number, std::uint64_t sequence);
-  /// Has the store break off a run that is not in this table.
-  void refuse(const ReplicaId& runner, std::uint64_t number) { next_[runner].stopped.push_back(number); }
-  /// Tells the store that the group keeps the answer of that run.
+  /// Stops a run that is not in this table, with the next lease to its store.
+  void refuse(const ReplicaId& runner, std::uint64_t number) { next_leases_[runner].stopped.push_back(number); }
+  /// Confirms to the store, with the next lease, that the group has stored the answer of that run.
   void acknowledgeAnswer(const ReplicaId& runner, std::uint64_t number) {
-    next_[runner].kept_answers.push_back(number);
+    next_leases_[runner].kept_answers.push_back(number);
   }
-  /// The store can't be reached.
+  /// Excludes an unreachable store from new runs for a while.
   void avoid(Instant now, const ReplicaId& runner);
+  /// Checks a report against the table, and updates the table from it.
   CheckedReport check(Instant now, const fleet::RunReport& report);
-  /// Runs at stores that have fallen silent; they are forgotten here.
+  /// Removes and returns the runs at stores that have fallen silent.
   std::vector<std::uint64_t> takeLost(Instant now);
-  /// Nobody waits for this run any more; its store is told with the next lease.
+  /// Removes a run that is no longer needed; its store receives the stop with the next lease.
   void stop(std::uint64_t number);
-  /// A sign of life for each store that runs items or is to be told something; empty before the interval is over,
-  /// unless there is something to tell.
+  /// Returns the leases that are due: heartbeats for the stores that run items, and stops and confirmations, which are
+  /// due at once. Empty between intervals if there are none.
   std::map<ReplicaId, LeaseContent> takeLeases(Instant now);
-  /// The leadership is over: the stores go on for the next leader.
+  /// Ends a leadership; the runs continue at their stores for the next leader.
   void clear();
 
   std::size_t running() const { return runs_.size(); }
@@ -102,23 +108,24 @@
   };
   struct Runner {
     std::set<std::uint64_t> runs;
-    /// When it last reported, or got its first order after it had none.
-    Instant heard_at{};
+    /// Time of its last report, or of its first order after it had no runs.
+    Instant last_report_at{};
   };
 
   void forget(std::uint64_t number);
   bool isAvoided(Instant now, const ReplicaId& runner) const;
-  /// The store with the fewest runs, and fewer than `limit`; of one zone or, without one, of all.
-  std::optional<ReplicaId> fewestRuns(Instant now, const ZoneId* zone, std::size_t limit) const;
+  /// Returns the store with the fewest runs if these are fewer than `limit`, of one zone or, if `zone` is null, of all.
+  std::optional<ReplicaId> storeWithFewestRuns(Instant now, const ZoneId* zone, std::size_t limit) const;
 
   ReplicaId self_;
   RunBoardLimits limits_;
   std::map<ReplicaId, ZoneId> runners_;
   std::map<std::uint64_t, Run> runs_;
-  std::map<ReplicaId, Runner> at_;
+  /// Runs by store; a store without runs has no entry.
+  std::map<ReplicaId, Runner> stores_;
   std::map<ReplicaId, Instant> avoided_until_;
-  /// What the next leases say.
-  std::map<ReplicaId, LeaseContent> next_;
+  /// Contents of the next leases.
+  std::map<ReplicaId, LeaseContent> next_leases_;
   std::uint64_t last_number_ = 0;
   Instant next_lease_{};
   Instant announced_until_{};
--- a/tests/process/store/crash_relay_test.cpp
+++ b/tests/process/store/crash_relay_test.cpp
@@ -25,21 +25,21 @@
   return std::get<CrashNotesFrame>(valueOf(message));
 }
 
-/// Two aggregators and two gateways, each of which asks one of them. Messages arrive at once, unless a gateway is cut
-/// off.
+/// Two aggregators and two gateways, each of which is subscribed at one aggregator. Messages arrive immediately, unless
+/// a gateway is disconnected.
 class Relays {
  public:
   Relays() {
     for (const int number : {0, 1}) {
-      hubs_.push_back(std::make_unique<Hub>(*this, number));
+      aggregators_.push_back(std::make_unique<Aggregator>(*this, number));
       gateways_.push_back(std::make_unique<CrashWatch>("gateway-" + std::to_string(number)));
     }
-    for (const int number : {0, 1}) hubs_[number]->relay.setHubs({ReplicaId(std::to_string(1 - number))});
+    for (const int number : {0, 1}) aggregators_[number]->relay.setHubs({ReplicaId(std::to_string(1 - number))});
   }
 
   CrashWatch& gateway(int number) { return *gateways_[number]; }
-  void cutOff(int gateway, bool is_cut) { is_cut_[gateway] = is_cut; }
-  /// A gateway tells its news and asks its aggregator; then the aggregators pass on.
+  void setDisconnected(int gateway, bool is_disconnected) { is_disconnected_[gateway] = is_disconnected; }
+  /// A gateway sends its notes and a hello to its aggregator; then the aggregators forward what they received.
   void exchange(Instant now, int number) {
     deliver(now, number, gateway(number).takeNews());
     deliver(now, number, gateway(number).hello());
@@ -47,7 +47,7 @@
   }
   void flushAll(Instant) {
     for (int round = 0; round < 3; ++round) {
-      for (const auto& hub : hubs_) hub->relay.flush();
+      for (const auto& aggregator : aggregators_) aggregator->relay.flush();
     }
   }
   void restartGateway(int number) {
@@ -56,13 +56,13 @@
   std::size_t framesTo(int gateway) const { return frames_.contains(gateway) ? frames_.at(gateway) : 0; }
 
  private:
-  struct Hub {
-    Hub(Relays& relays, int number)
+  struct Aggregator {
+    Aggregator(Relays& relays, int number)
         : watch("store-" + std::to_string(number)),
           relay(watch, [&relays](const ReplicaId& to, const FleetMessage& message) {
             const int peer = std::stoi(to.value);
             const CrashRelay::Receiver back{&relays, [](const std::string&) {}};
-            relays.hubs_[peer]->relay.take(at(0), std::get<CrashNotesFrame>(message), back);
+            relays.aggregators_[peer]->relay.take(at(0), std::get<CrashNotesFrame>(message), back);
             return true;
           }) {}
     CrashWatch watch;
@@ -70,27 +70,28 @@
   };
 
   void deliver(Instant now, int number, const CrashNotesFrame& notes) {
-    if (is_cut_[number]) return;
+    if (is_disconnected_[number]) return;
     const CrashRelay::Receiver back{gateways_[number].get(), [this, now, number](const std::string& frame) {
-                                      if (is_cut_[number]) return;
+                                      if (is_disconnected_[number]) return;
                                       ++frames_[number];
-                                      const CrashNotesFrame told = decoded(frame);
-                                      gateway(number).take(now, told);
-                                      if (!told.wants_all || told.digest == gateway(number).digest()) return;
+                                      const CrashNotesFrame received = decoded(frame);
+                                      gateway(number).take(now, received);
+                                      if (!received.wants_all || received.digest == gateway(number).digest()) return;
                                       deliver(now, number, gateway(number).everything(now));
                                     }};
-    hubs_[number]->relay.take(now, notes, back);
+    aggregators_[number]->relay.take(now, notes, back);
   }
 
-  std::vector<std::unique_ptr<Hub>> hubs_;
+  std::vector<std::unique_ptr<Aggregator>> aggregators_;
   std::vector<std::unique_ptr<CrashWatch>> gateways_;
-  std::map<int, bool> is_cut_;
+  std::map<int, bool> is_disconnected_;
   std::map<int, std::size_t> frames_;
 };
 
 }  // namespace
 
-TEST_CASE("three ends of engines that three processes saw are known to a gateway of another zone", "[crash][relay]") {
+TEST_CASE("three engine crashes that were seen by different processes are known to a gateway of another zone",
+          "[crash][relay]") {
   Relays relays;
   relays.exchange(at(0), 0);
   relays.exchange(at(0), 1);
@@ -104,7 +105,8 @@
   REQUIRE(relays.gateway(1).judge(kContent).isRefused(at(40)));
 }
 
-TEST_CASE("a gateway that starts anew is told all, and one that was cut off tells what it saw", "[crash][relay]") {
+TEST_CASE("a restarted gateway receives all crashes, and one that was disconnected sends what it saw",
+          "[crash][relay]") {
   Relays relays;
   relays.exchange(at(0), 0);
   relays.gateway(0).noteCrash(at(10), at(10), kContent, EngineId("e1"));
@@ -113,12 +115,12 @@
   relays.exchange(at(20), 1);
   REQUIRE(relays.gateway(1).judge(kContent).crashes == 1);
 
-  relays.cutOff(0, true);
+  relays.setDisconnected(0, true);
   relays.gateway(0).noteCrash(at(30), at(30), kContent, EngineId("e2"));
   relays.exchange(at(30), 0);
   REQUIRE(relays.gateway(1).judge(kContent).crashes == 1);
-  relays.cutOff(0, false);
-  // Its news were lost; the digests differ.
+  relays.setDisconnected(0, false);
+  // The notes were lost; both sides notice that because their digests differ.
   relays.exchange(at(1030), 0);
   REQUIRE(relays.gateway(1).judge(kContent).crashes == 2);
 }
@@ -133,7 +135,8 @@
   REQUIRE_FALSE(relays.gateway(0).judge(kContent).isSuspect());
 }
 
-TEST_CASE("suspects run apart, and one that is likely to end its engine runs at one at a time", "[crash][relay]") {
+TEST_CASE("suspects run apart, and one that is likely to crash its engine runs at one engine at a time",
+          "[crash][relay]") {
   Relays relays;
   for (const int number : {0, 1}) relays.exchange(at(0), number);
   const RequestFingerprint other("other");
@@ -151,7 +154,7 @@
   REQUIRE(relays.gateway(1).enginesToAvoid(at(50), other).empty());
 }
 
-TEST_CASE("the end of an engine that has said that it leaves blames nobody", "[crash]") {
+TEST_CASE("the exit of an engine that announced its shutdown makes no request a suspect", "[crash]") {
   CrashWatch watch("gateway");
   watch.setServingCheck([](const EngineId& engine) { return engine != EngineId("leaving"); });
   watch.noteCrash(at(0), at(0), kContent, EngineId("leaving"));
@@ -160,15 +163,15 @@
   REQUIRE(watch.judge(kContent).crashes == 1);
 }
 
-TEST_CASE("nothing is passed on where nothing is suspected", "[crash][relay]") {
+TEST_CASE("nothing is forwarded while nothing is suspected", "[crash][relay]") {
   Relays relays;
   for (int second = 0; second < 10; ++second) relays.exchange(at(1000 * second), 0);
   REQUIRE(relays.framesTo(0) == 0);
 }
 
-// Items that two engines had ended under by themselves were held for 30 s: the note that a run had begun came back from
-// another process after the run's end, was taken for a new run, and was told on by all processes without end.
-TEST_CASE("a run that is over stays over, whatever is told of it late", "[crash][relay]") {
+// Guards against items being parked for 30 s: the note that a run had begun came back from another process after the
+// end of the run, was taken for a new run, and was then forwarded by all processes without end.
+TEST_CASE("a late note about a run that has ended does not start it again", "[crash][relay]") {
   CrashWatch sender("a");
   CrashWatch other("b");
   for (const int number : {1, 2}) {
@@ -192,7 +195,7 @@
   REQUIRE_FALSE(other.mustWait(at(220), kContent));
 }
 
-TEST_CASE("a run whose end nobody tells is over after a while, however often it is told", "[crash][relay]") {
+TEST_CASE("a run whose end is never reported expires, no matter how often its start is reported", "[crash][relay]") {
   CrashWatch sender("a");
   CrashWatch first("b");
   CrashWatch second("c");
--- a/tests/process/store/item_answers_test.cpp
+++ b/tests/process/store/item_answers_test.cpp
@@ -1,7 +1,7 @@
-// What happened: items that fail at each run were sent again long after their attempts were used, in two large
-// deployments at high load. Sequence: an engine answers 500 or 422; the store that ran the item reports that once; the
-// report reaches a leader of the store group that has just lost its leadership, or that has already written the run off
-// as lost, silent or yielded; nobody counts the answer, and the next leader orders the item again.
+// Guards against lost answers: items that failed at each run were sent again long after their attempts were used up.
+// An engine answers 500 or 422, and the store that ran the item reports that only once; the report reaches a leader
+// that has just lost its leadership, or that has already given the run up as lost or preempted; the answer is not
+// counted, and the next leader orders the item again.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
@@ -32,8 +32,8 @@
   return fmt::format("HTTP/1.1 {} Failed\r\nX-Attempt-Id: i\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status);
 }
 
-/// Two stores with their executors and runners, one engine that answers each run alike, and a group state that the test
-/// commits to. One store leads at a time; the other one's runner offers to it what it has run.
+/// Two stores with their executors and runners, one engine that gives each run the same answer, and a group state to
+/// which all proposals are applied. One store leads at a time; the runner of the other one offers its runs to it.
 class StorePair {
  public:
   explicit StorePair(unsigned status) : engine_(context_, answerOf(status)), dialect_(platform::makePlatformDialect()) {
@@ -70,11 +70,11 @@
     }
     return done();
   }
-  /// Loses what stores report, or delivers it again.
-  void loseReports(bool lost) { reports_lost_ = lost; }
-  /// Has the leader break off the run at the engine, as for an online request.
-  void giveWay() { stores_[leader_].executor->giveWay(EngineId("e")); }
-  /// The run has ended, and nobody but its store knows how.
+  /// Drops the reports of stores, or delivers them again.
+  void setDropReports(bool lost) { drops_reports_ = lost; }
+  /// Makes the leader preempt the run at the engine, as for an online request.
+  void preempt() { stores_[leader_].executor->giveWay(EngineId("e")); }
+  /// True if the engine has answered the given number of runs and none is in flight.
   bool isAnswered(std::size_t run) const { return runsAtEngine() >= run && runsInFlight() == 0; }
   std::size_t runsAtEngine() const { return engine_.requests().size(); }
   std::size_t runsInFlight() const { return stores_[0].runner->running() + stores_[1].runner->running(); }
@@ -91,7 +91,7 @@
   void addStore(const ReplicaId& id) {
     JobExecutorOptions options;
     options.self = id;
-    options.loads_known_after = fromMillis(100);
+    options.start_delay = fromMillis(100);
     auto propose = [this](const JobCommand& command, const std::function<void(bool)>& done) {
       connection::asio::post(context_, [this, command, done] {
         state_.apply(1, encodeTagged(command));
@@ -129,7 +129,7 @@
 
   void deliver(const ReplicaId& to, const fleet::FleetMessage& message) {
     const bool is_report = std::holds_alternative<fleet::RunReport>(message);
-    if (is_report && reports_lost_) return;
+    if (is_report && drops_reports_) return;
     connection::asio::post(context_, [this, to, message] {
       for (Store& store : stores_) {
         if (store.id != to) continue;
@@ -150,7 +150,7 @@
   std::size_t leader_ = 1;
   std::uint64_t term_ = 0;
   Instant next_tick_{};
-  bool reports_lost_ = false;
+  bool drops_reports_ = false;
 };
 
 }  // namespace
@@ -162,7 +162,7 @@
     stores.changeLeader();
     const std::size_t before = stores.runsAtEngine();
     stores.runUntil([&] { return stores.runsAtEngine() > before || stores.isListed(); });
-    // The answer is in, and its report is not.
+    // The store has the answer but has not reported it yet.
     stores.runUntil([&] { return stores.runsInFlight() == 0; });
   }
   stores.runUntil([&] { return stores.isListed(); });
@@ -171,37 +171,38 @@
   REQUIRE(stores.job().results.front().outcome == ItemOutcome::kErrored);
 }
 
-TEST_CASE("an answer whose report is lost is counted all the same", "[store][answers]") {
+TEST_CASE("an answer is counted even if its report is lost", "[store][answers]") {
   StorePair stores(422);
   stores.changeLeader();
-  stores.loseReports(true);
+  stores.setDropReports(true);
   REQUIRE(stores.runUntil([&] { return stores.isAnswered(1); }));
   const Instant later = monotonicNow() + fromMillis(60);
   stores.runUntil([&] { return monotonicNow() > later; });
-  stores.loseReports(false);
+  stores.setDropReports(false);
   REQUIRE(stores.runUntil([&] { return stores.isListed(); }));
   REQUIRE(stores.runsAtEngine() == 1);
 }
 
-TEST_CASE("an answer to a run that was given up for an online request is counted all the same", "[store][answers]") {
+TEST_CASE("an answer is counted even if its run was preempted for an online request", "[store][answers]") {
   StorePair stores(422);
   stores.changeLeader();
   REQUIRE(stores.runUntil([&] { return stores.isAnswered(1); }));
-  stores.giveWay();
+  stores.preempt();
   REQUIRE(stores.runUntil([&] { return stores.isListed(); }));
   REQUIRE(stores.runsAtEngine() == 1);
 }
 
-TEST_CASE("a new leader orders no item anew before each store has told what its engines answered", "[store][answers]") {
+TEST_CASE("a new leader orders no item again before each store has reported the answers of its engines",
+          "[store][answers]") {
   StorePair stores(422);
   stores.changeLeader();
-  stores.loseReports(true);
+  stores.setDropReports(true);
   REQUIRE(stores.runUntil([&] { return stores.isAnswered(1); }));
   stores.changeLeader();
-  // Longer than a new leader waits to know the loads.
+  // Longer than the start delay of a new leader.
   const Instant later = monotonicNow() + fromMillis(400);
   stores.runUntil([&] { return monotonicNow() > later; });
-  stores.loseReports(false);
+  stores.setDropReports(false);
   REQUIRE(stores.runUntil([&] { return stores.isListed(); }));
   REQUIRE(stores.runsAtEngine() == 1);
 }
--- a/tests/process/store/item_runner_test.cpp
+++ b/tests/process/store/item_runner_test.cpp
@@ -32,10 +32,10 @@
          chunk("id: 3\ndata: three\n\n") + chunk("id: 4\ndata: four\n\n") + (whole ? "0\r\n\r\n" : "");
 }
 
-/// A runner that is ordered about by the test, and the reports it sent.
-class RunnerStage {
+/// A runner that gets its orders from the test, and the reports that it sent.
+class RunnerFixture {
  public:
-  explicit RunnerStage(const std::string& answer)
+  explicit RunnerFixture(const std::string& answer)
       : engine_(context_, answer),
         dialect_(platform::makePlatformDialect()),
         runner_(
@@ -66,7 +66,7 @@
   const std::vector<RunReport>& reports() const { return reports_; }
   const connection::ScriptedEngine& engine() const { return engine_; }
 
-  /// Runs, with the runner's ticks at the given time, until that many news have come or five seconds are over.
+  /// Handles events until `count` news were reported, or for five seconds.
   void waitForNews(std::size_t count) {
     const Instant give_up = monotonicNow() + std::chrono::seconds(5);
     while (news().size() < count && monotonicNow() < give_up) run(fromMillis(20));
@@ -93,20 +93,20 @@
 
 }  // namespace
 
-TEST_CASE("a run reports its text and its end, and asks to go on after the given event", "[store][runner]") {
-  RunnerStage stage(eventStream(/*whole=*/true));
-  stage.order(1, 7, /*last_event=*/2);
-  stage.waitForNews(1);
+TEST_CASE("a run reports its text and its end, and requests the events after the given one", "[store][runner]") {
+  RunnerFixture fixture(eventStream(/*whole=*/true));
+  fixture.order(1, 7, /*last_event=*/2);
+  fixture.waitForNews(1);
   std::string text;
-  for (const RunNews& news : stage.news()) text += news.text;
+  for (const RunNews& news : fixture.news()) text += news.text;
   REQUIRE(text == "\nthree\nfour");
-  const RunNews last = stage.news().back();
+  const RunNews last = fixture.news().back();
   REQUIRE(last.ended);
   REQUIRE(last.end == RunEnd::kWhole);
   REQUIRE(last.last_event == 4);
   REQUIRE(last.number == 7);
-  REQUIRE(stage.engine().requests().front()->find("Last-Event-Id: 2\r\n") != std::string::npos);
-  REQUIRE(stage.runner().running() == 0);
+  REQUIRE(fixture.engine().requests().front()->find("Last-Event-Id: 2\r\n") != std::string::npos);
+  REQUIRE(fixture.runner().running() == 0);
 }
 
 namespace {
@@ -115,84 +115,86 @@
     "HTTP/1.1 200 OK\r\nX-Attempt-Id: item\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 const std::string kStreamEnd = "0\r\n\r\n";
 
-std::string textOf(const RunnerStage& stage) {
+std::string textOf(const RunnerFixture& fixture) {
   std::string text;
-  for (const RunNews& news : stage.news()) text += news.text;
+  for (const RunNews& news : fixture.news()) text += news.text;
   return text;
 }
 
 }  // namespace
 
-TEST_CASE("a run fails where events are missing, or one has no place in the text", "[store][runner]") {
+TEST_CASE("a run fails if events are missing, or if the position of an event in the text is unknown",
+          "[store][runner]") {
   const std::string three = chunk("id: 3\ndata: three\n\n");
   const bool is_gap = GENERATE(true, false);
   const std::string events = is_gap ? three + chunk("id: 5\ndata: five\n\n") : chunk("data: somewhere\n\n") + three;
-  RunnerStage stage(kStreamHead + events + kStreamEnd);
-  stage.order(1, 7, /*last_event=*/2);
-  while (stage.news().empty() || !stage.news().back().ended) stage.run(fromMillis(20));
-  REQUIRE(stage.news().back().end == RunEnd::kBroken);
-  REQUIRE(stage.news().back().last_event == (is_gap ? 3 : 2));
-  REQUIRE(textOf(stage) == (is_gap ? "\nthree" : ""));
+  RunnerFixture fixture(kStreamHead + events + kStreamEnd);
+  fixture.order(1, 7, /*last_event=*/2);
+  while (fixture.news().empty() || !fixture.news().back().ended) fixture.run(fromMillis(20));
+  REQUIRE(fixture.news().back().end == RunEnd::kBroken);
+  REQUIRE(fixture.news().back().last_event == (is_gap ? 3 : 2));
+  REQUIRE(textOf(fixture) == (is_gap ? "\nthree" : ""));
 }
 
-TEST_CASE("an end mark without an identifier is part of the text, after which no run goes on", "[store][runner]") {
-  RunnerStage stage(kStreamHead + chunk("id: 3\ndata: three\n\n") + chunk("data: [DONE]\n\n") + kStreamEnd);
-  stage.order(1, 7, /*last_event=*/2);
-  while (stage.news().empty() || !stage.news().back().ended) stage.run(fromMillis(20));
-  REQUIRE(stage.news().back().end == RunEnd::kWhole);
-  REQUIRE(stage.news().back().last_event == 0);
-  REQUIRE(textOf(stage) == "\nthree\n[DONE]");
+TEST_CASE("an end mark without an identifier is part of the text, after which no run can resume", "[store][runner]") {
+  RunnerFixture fixture(kStreamHead + chunk("id: 3\ndata: three\n\n") + chunk("data: [DONE]\n\n") + kStreamEnd);
+  fixture.order(1, 7, /*last_event=*/2);
+  while (fixture.news().empty() || !fixture.news().back().ended) fixture.run(fromMillis(20));
+  REQUIRE(fixture.news().back().end == RunEnd::kWhole);
+  REQUIRE(fixture.news().back().last_event == 0);
+  REQUIRE(textOf(fixture) == "\nthree\n[DONE]");
 }
 
-TEST_CASE("a run ends when no leader is heard for the lease, or when it is stopped", "[store][runner]") {
-  RunnerStage stage(eventStream(/*whole=*/false));
-  stage.order(1, 7, 0);
-  stage.waitForNews(1);
-  REQUIRE(stage.news().front().text == "three\nfour");
-  REQUIRE(stage.runner().running() == 1);
+TEST_CASE("a run ends when its lease expires without a heartbeat of a leader, or when it is stopped",
+          "[store][runner]") {
+  RunnerFixture fixture(eventStream(/*whole=*/false));
+  fixture.order(1, 7, 0);
+  fixture.waitForNews(1);
+  REQUIRE(fixture.news().front().text == "three\nfour");
+  REQUIRE(fixture.runner().running() == 1);
   SECTION("silent") {
-    stage.runner().tick(monotonicNow() + fromMillis(2000));
-    REQUIRE(stage.runner().running() == 1);
-    stage.runner().tick(monotonicNow() + fromMillis(3000));
-    REQUIRE(stage.runner().running() == 0);
+    fixture.runner().tick(monotonicNow() + fromMillis(2000));
+    REQUIRE(fixture.runner().running() == 1);
+    fixture.runner().tick(monotonicNow() + fromMillis(3000));
+    REQUIRE(fixture.runner().running() == 0);
   }
   SECTION("stopped") {
-    stage.runner().take(RunLease{kLeader, 1, {7}});
-    REQUIRE(stage.runner().running() == 0);
+    fixture.runner().take(RunLease{kLeader, 1, {7}});
+    REQUIRE(fixture.runner().running() == 0);
   }
   SECTION("stopped by the next leader") {
-    stage.runner().take(RunLease{ReplicaId("10.0.0.3"), 2, {7}});
-    REQUIRE(stage.runner().running() == 0);
-    // The leader of before is heard no more.
-    stage.order(1, 8, 0);
-    REQUIRE(stage.runner().running() == 0);
+    fixture.runner().take(RunLease{ReplicaId("10.0.0.3"), 2, {7}});
+    REQUIRE(fixture.runner().running() == 0);
+    // Orders of the previous leader are ignored.
+    fixture.order(1, 8, 0);
+    REQUIRE(fixture.runner().running() == 0);
   }
-  stage.run(fromMillis(50));
-  const std::size_t told = stage.news().size();
-  stage.run(fromMillis(50));
-  REQUIRE(stage.news().size() == told);
+  fixture.run(fromMillis(50));
+  const std::size_t reported = fixture.news().size();
+  fixture.run(fromMillis(50));
+  REQUIRE(fixture.news().size() == reported);
 }
 
-TEST_CASE("a planned stop hands runs back with all that has come", "[store][runner]") {
-  RunnerStage stage(eventStream(/*whole=*/false));
-  stage.order(1, 7, 0);
-  stage.waitForNews(1);
-  stage.runner().handBack();
-  REQUIRE(stage.news().back().ended);
-  REQUIRE(stage.news().back().end == RunEnd::kBroken);
-  REQUIRE(stage.news().back().last_event == 4);
-  REQUIRE(stage.news().back().sequence == stage.news().size());
+TEST_CASE("a planned shutdown returns the runs with all events that were received", "[store][runner]") {
+  RunnerFixture fixture(eventStream(/*whole=*/false));
+  fixture.order(1, 7, 0);
+  fixture.waitForNews(1);
+  fixture.runner().handBack();
+  REQUIRE(fixture.news().back().ended);
+  REQUIRE(fixture.news().back().end == RunEnd::kBroken);
+  REQUIRE(fixture.news().back().last_event == 4);
+  REQUIRE(fixture.news().back().sequence == fixture.news().size());
 }
 
-TEST_CASE("a change of leader breaks off no run: it goes on and is offered with its whole text", "[store][runner]") {
-  RunnerStage stage(eventStream(/*whole=*/false));
-  stage.order(1, 7, /*last_event=*/2);
-  stage.waitForNews(1);
+TEST_CASE("a change of leader aborts no run: the run continues and is offered with its whole text", "[store][runner]") {
+  RunnerFixture fixture(eventStream(/*whole=*/false));
+  fixture.order(1, 7, /*last_event=*/2);
+  fixture.waitForNews(1);
   const ReplicaId next("10.0.0.3");
-  stage.runner().take(RunLease{next, 2, {}});
-  REQUIRE(stage.runner().running() == 1);
-  REQUIRE(stage.offers().size() == 1);
-  const auto& [to, offer] = stage.offers().front();
+  fixture.runner().take(RunLease{next, 2, {}});
+  REQUIRE(fixture.runner().running() == 1);
+  REQUIRE(fixture.offers().size() == 1);
+  const auto& [to, offer] = fixture.offers().front();
   REQUIRE(to == next);
   REQUIRE(offer.term == 2);
   REQUIRE(offer.runs.size() == 1);
@@ -201,64 +203,65 @@
   REQUIRE(run.text == "before\nthree\nfour");
   REQUIRE(run.last_event == 4);
   REQUIRE(run.chain == 5);
-  REQUIRE(run.sequence == stage.news().size());
+  REQUIRE(run.sequence == fixture.news().size());
   REQUIRE_FALSE(run.ended);
-  // Nothing of it is reported a second time, and the leader of before can't stop it any more.
-  stage.runner().take(RunLease{kLeader, 1, {7}});
-  REQUIRE(stage.runner().running() == 1);
+  // None of its text is reported a second time, and the previous leader can no longer stop it.
+  fixture.runner().take(RunLease{kLeader, 1, {7}});
+  REQUIRE(fixture.runner().running() == 1);
 }
 
-TEST_CASE("an answer that counts against its item is told until a leader has it kept", "[store][runner]") {
+TEST_CASE("an answer that counts against its item is reported until a leader confirms that it is stored",
+          "[store][runner]") {
   const auto [answer, end] = GENERATE(std::pair<std::string, RunEnd>("500 Failed", RunEnd::kFailed),
                                       std::pair<std::string, RunEnd>("422 Impossible", RunEnd::kImpossible));
-  RunnerStage stage("HTTP/1.1 " + answer + "\r\nX-Attempt-Id: item\r\nContent-Length: 0\r\n\r\n");
-  stage.order(1, 7, /*last_event=*/0);
-  stage.waitForNews(1);
-  REQUIRE(stage.runner().unkeptAnswers() == 1);
-  // Neither a silent leader nor a new one makes the store forget it.
-  stage.runner().tick(monotonicNow() + fromMillis(9000));
-  const std::size_t before = stage.reports().size();
-  stage.runner().take(RunLease{ReplicaId("10.0.0.3"), 2, {}, {}});
-  REQUIRE(stage.reports().size() == before + 1);
-  REQUIRE(stage.reports().back().answers.size() == 1);
-  stage.runner().tick(monotonicNow() + fromMillis(9300));
-  REQUIRE(stage.reports().size() == before + 2);
-  const RunReport& told = stage.reports().back();
-  REQUIRE(told.term == 2);
-  REQUIRE(told.answers.size() == 1);
-  REQUIRE(told.answers.front().number == 7);
-  REQUIRE(told.answers.front().item == "item");
-  REQUIRE(told.answers.front().end == end);
-  stage.runner().take(RunLease{ReplicaId("10.0.0.3"), 2, {}, {7}});
-  REQUIRE(stage.runner().unkeptAnswers() == 0);
-  stage.runner().tick(monotonicNow() + fromMillis(9600));
-  REQUIRE(stage.reports().size() == before + 2);
+  RunnerFixture fixture("HTTP/1.1 " + answer + "\r\nX-Attempt-Id: item\r\nContent-Length: 0\r\n\r\n");
+  fixture.order(1, 7, /*last_event=*/0);
+  fixture.waitForNews(1);
+  REQUIRE(fixture.runner().unkeptAnswers() == 1);
+  // The answer is retained while the leader is silent and across a change of leader.
+  fixture.runner().tick(monotonicNow() + fromMillis(9000));
+  const std::size_t before = fixture.reports().size();
+  fixture.runner().take(RunLease{ReplicaId("10.0.0.3"), 2, {}, {}});
+  REQUIRE(fixture.reports().size() == before + 1);
+  REQUIRE(fixture.reports().back().answers.size() == 1);
+  fixture.runner().tick(monotonicNow() + fromMillis(9300));
+  REQUIRE(fixture.reports().size() == before + 2);
+  const RunReport& reported = fixture.reports().back();
+  REQUIRE(reported.term == 2);
+  REQUIRE(reported.answers.size() == 1);
+  REQUIRE(reported.answers.front().number == 7);
+  REQUIRE(reported.answers.front().item == "item");
+  REQUIRE(reported.answers.front().end == end);
+  fixture.runner().take(RunLease{ReplicaId("10.0.0.3"), 2, {}, {7}});
+  REQUIRE(fixture.runner().unkeptAnswers() == 0);
+  fixture.runner().tick(monotonicNow() + fromMillis(9600));
+  REQUIRE(fixture.reports().size() == before + 2);
 }
 
-TEST_CASE("a new leader hears of a store that has nothing to tell", "[store][runner]") {
-  RunnerStage stage("HTTP/1.1 200 OK\r\n\r\n");
-  stage.runner().take(RunLease{kLeader, 1, {}, {}});
-  REQUIRE(stage.reports().size() == 1);
-  REQUIRE(stage.reports().back().term == 1);
-  stage.runner().tick(monotonicNow() + fromMillis(300));
-  REQUIRE(stage.reports().size() == 2);
-  stage.runner().tick(monotonicNow() + fromMillis(2000));
-  REQUIRE(stage.reports().size() == 2);
-  REQUIRE(stage.offers().empty());
+TEST_CASE("a new leader gets empty reports from a store that has nothing to report", "[store][runner]") {
+  RunnerFixture fixture("HTTP/1.1 200 OK\r\n\r\n");
+  fixture.runner().take(RunLease{kLeader, 1, {}, {}});
+  REQUIRE(fixture.reports().size() == 1);
+  REQUIRE(fixture.reports().back().term == 1);
+  fixture.runner().tick(monotonicNow() + fromMillis(300));
+  REQUIRE(fixture.reports().size() == 2);
+  fixture.runner().tick(monotonicNow() + fromMillis(2000));
+  REQUIRE(fixture.reports().size() == 2);
+  REQUIRE(fixture.offers().empty());
 }
 
-TEST_CASE("a run that has ended lately is offered too, since its leader may not have listed it", "[store][runner]") {
-  RunnerStage stage(eventStream(/*whole=*/true));
-  stage.order(1, 7, /*last_event=*/0);
-  stage.waitForNews(1);
-  REQUIRE(stage.runner().running() == 0);
-  stage.runner().take(RunLease{ReplicaId("10.0.0.3"), 2, {}});
-  REQUIRE(stage.offers().size() == 1);
-  const fleet::OfferedRun& run = stage.offers().front().second.runs.front();
+TEST_CASE("a run that ended recently is offered too, since its leader may not have listed it", "[store][runner]") {
+  RunnerFixture fixture(eventStream(/*whole=*/true));
+  fixture.order(1, 7, /*last_event=*/0);
+  fixture.waitForNews(1);
+  REQUIRE(fixture.runner().running() == 0);
+  fixture.runner().take(RunLease{ReplicaId("10.0.0.3"), 2, {}});
+  REQUIRE(fixture.offers().size() == 1);
+  const fleet::OfferedRun& run = fixture.offers().front().second.runs.front();
   REQUIRE(run.ended);
   REQUIRE(run.end == RunEnd::kWhole);
   REQUIRE(run.text == "three\nfour");
-  stage.runner().tick(monotonicNow() + fromMillis(9000));
-  stage.runner().take(RunLease{ReplicaId("10.0.0.4"), 3, {}});
-  REQUIRE(stage.offers().size() == 1);
+  fixture.runner().tick(monotonicNow() + fromMillis(9000));
+  fixture.runner().take(RunLease{ReplicaId("10.0.0.4"), 3, {}});
+  REQUIRE(fixture.offers().size() == 1);
 }
--- a/tests/process/store/job_executor_test.cpp
+++ b/tests/process/store/job_executor_test.cpp
@@ -22,15 +22,15 @@
   "Services":[{"Name":"s","HealthPath":"/h","MaxConnections":10,"Protocol":"h1","Tls":false}],
   "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}})";
 
-/// An executor whose group and stores are played by the test.
-class ExecutorStage {
+/// An executor whose group and stores are simulated by the test.
+class ExecutorFixture {
  public:
-  explicit ExecutorStage(Duration loads_known_after = Duration::zero(), std::size_t more_items = 0,
-                         request::LoadFeatures load = {}, std::int64_t age_ms = 0)
+  explicit ExecutorFixture(Duration start_delay = Duration::zero(), std::size_t more_items = 0,
+                           request::LoadFeatures load = {}, std::int64_t age_ms = 0)
       : dialect_(platform::makePlatformDialect()) {
     JobExecutorOptions options;
     options.self = kSelf;
-    options.loads_known_after = loads_known_after;
+    options.start_delay = start_delay;
     options.load = load;
     auto propose = [this](JobCommand command, std::function<void(bool)> done) {
       if (refuses_proposals) {
@@ -70,7 +70,7 @@
   JobExecutor& executor() { return *executor_; }
   const RunOrder& lastOrder() const { return orders_.back(); }
   std::size_t orders() const { return orders_.size(); }
-  /// Whether the executor has had that run broken off.
+  /// True if the executor has stopped the run.
   bool hasStopped(std::uint64_t number) const {
     return std::any_of(leases_.begin(), leases_.end(), [number](const fleet::RunLease& lease) {
       return std::find(lease.stopped.begin(), lease.stopped.end(), number) != lease.stopped.end();
@@ -90,7 +90,7 @@
     executor_->take(RunReport{kSelf, term, {news}, {lastOrder().number}});
   }
 
-  /// Bytes of the texts that the oldest proposal lists, and their number.
+  /// Returns the bytes of text and the number of results in the oldest proposal.
   std::pair<std::size_t, std::size_t> listedByOldest() const {
     const auto& results = std::get<ListResults>(proposals_.front().command).results;
     std::size_t bytes = 0;
@@ -103,7 +103,7 @@
     }
   }
 
-  /// Ends the oldest proposal; applies it to the state first where that is wanted.
+  /// Ends the oldest proposal, as applied to the state or as refused.
   void endProposal(bool applied) {
     Proposal proposal = std::move(proposals_.front());
     proposals_.erase(proposals_.begin());
@@ -111,12 +111,12 @@
     proposal.done(applied);
   }
   std::size_t proposals() const { return proposals_.size(); }
-  /// The items whose progress the oldest proposal saves.
+  /// Returns the progress in the oldest proposal.
   std::vector<ItemProgress> proposedProgress() const {
     return std::get<SaveProgress>(proposals_.front().command).items;
   }
 
-  /// The group has no leader and says so at once.
+  /// True if the group refuses proposals at once, as it does without a leader.
   bool refuses_proposals = false;
 
  private:
@@ -136,116 +136,118 @@
 }  // namespace
 
 TEST_CASE("an item's text is listed once its run is whole", "[store][executor]") {
-  ExecutorStage stage;
-  stage.executor().setLeading(true, 1);
-  REQUIRE(stage.orders() == 1);
-  REQUIRE(stage.lastOrder().last_event == 0);
-  stage.report(1, 1, "one", 1, false);
-  stage.report(1, 2, "\ntwo", 2, true);
-  stage.endProposal(true);
-  REQUIRE(stage.job().results.front().text == "one\ntwo");
+  ExecutorFixture fixture;
+  fixture.executor().setLeading(true, 1);
+  REQUIRE(fixture.orders() == 1);
+  REQUIRE(fixture.lastOrder().last_event == 0);
+  fixture.report(1, 1, "one", 1, false);
+  fixture.report(1, 2, "\ntwo", 2, true);
+  fixture.endProposal(true);
+  REQUIRE(fixture.job().results.front().text == "one\ntwo");
 }
 
-TEST_CASE("a result that is passed over is not listed with the half text of a later run", "[store][executor]") {
-  ExecutorStage stage;
-  stage.executor().setLeading(true, 1);
-  stage.report(1, 1, "one", 1, false);
-  stage.executor().tick(connection::monotonicNow());
-  stage.endProposal(true);  // The progress up to event 1 is kept.
-  stage.report(1, 2, "\ntwo", 2, true);
-  REQUIRE(stage.proposals() == 1);  // "\ntwo" after event 1.
-  // Another leader keeps progress of its own meanwhile, and this one leads again.
-  stage.executor().setLeading(false, 2);
-  stage.apply(SaveProgress{{ItemProgress{JobId("j"), "i", 1, stage.job().progress.at("i").chain, 2, 99, "\nTWO", 0}}});
-  stage.executor().setLeading(true, 3);
-  REQUIRE(stage.lastOrder().last_event == 2);
-  stage.endProposal(true);  // Does not follow on what is kept: passed over.
-  while (stage.proposals() > 0) stage.endProposal(true);
-  REQUIRE(stage.job().results.empty());
-  stage.report(3, 1, "\nthree", 3, true);
-  stage.endProposal(true);
-  REQUIRE(stage.job().results.front().text == "one\nTWO\nthree");
+TEST_CASE("a result that is skipped is not listed with the partial text of a later run", "[store][executor]") {
+  ExecutorFixture fixture;
+  fixture.executor().setLeading(true, 1);
+  fixture.report(1, 1, "one", 1, false);
+  fixture.executor().tick(connection::monotonicNow());
+  fixture.endProposal(true);  // The progress up to event 1 is stored.
+  fixture.report(1, 2, "\ntwo", 2, true);
+  REQUIRE(fixture.proposals() == 1);  // "\ntwo" after event 1.
+  // Another leader stores progress of its own meanwhile, and then this store leads again.
+  fixture.executor().setLeading(false, 2);
+  fixture.apply(
+      SaveProgress{{ItemProgress{JobId("j"), "i", 1, fixture.job().progress.at("i").chain, 2, 99, "\nTWO", 0}}});
+  fixture.executor().setLeading(true, 3);
+  REQUIRE(fixture.lastOrder().last_event == 2);
+  fixture.endProposal(true);  // Does not continue the stored progress: skipped.
+  while (fixture.proposals() > 0) fixture.endProposal(true);
+  REQUIRE(fixture.job().results.empty());
+  fixture.report(3, 1, "\nthree", 3, true);
+  fixture.endProposal(true);
+  REQUIRE(fixture.job().results.front().text == "one\nTWO\nthree");
 }
 
-TEST_CASE("a report of an older term is not taken", "[store][executor]") {
-  ExecutorStage stage;
-  stage.executor().setLeading(true, 1);
-  stage.executor().setLeading(false, 2);
-  stage.executor().setLeading(true, 3);
-  stage.report(1, 1, "one", 1, true);
-  REQUIRE(stage.proposals() == 0);
+TEST_CASE("a report of an older term is ignored", "[store][executor]") {
+  ExecutorFixture fixture;
+  fixture.executor().setLeading(true, 1);
+  fixture.executor().setLeading(false, 2);
+  fixture.executor().setLeading(true, 3);
+  fixture.report(1, 1, "one", 1, true);
+  REQUIRE(fixture.proposals() == 0);
 }
 
-TEST_CASE("a run whose store has lost it goes on after the last event that was reported", "[store][executor]") {
-  ExecutorStage stage;
-  stage.executor().setLeading(true, 1);
-  stage.report(1, 1, "one", 1, false);
+TEST_CASE("an item whose run was lost by its store is scheduled again", "[store][executor]") {
+  ExecutorFixture fixture;
+  fixture.executor().setLeading(true, 1);
+  fixture.report(1, 1, "one", 1, false);
   // Neither running nor ended at its store.
-  stage.executor().take(RunReport{kSelf, 1, {}, {}});
+  fixture.executor().take(RunReport{kSelf, 1, {}, {}});
   const Instant later = connection::monotonicNow() + fromMillis(1000);
-  stage.executor().tick(later);
-  REQUIRE(stage.executor().waiting() + stage.executor().running() == 1);
+  fixture.executor().tick(later);
+  REQUIRE(fixture.executor().waiting() + fixture.executor().running() == 1);
 }
 
-TEST_CASE("an answer that an engine closed is no result; the next run is asked for the rest", "[store][executor]") {
-  ExecutorStage stage;
-  stage.executor().setLeading(true, 1);
+TEST_CASE("an answer that ends with a closed connection is no result; the next run requests the rest",
+          "[store][executor]") {
+  ExecutorFixture fixture;
+  fixture.executor().setLeading(true, 1);
   RunNews news;
-  news.number = stage.lastOrder().number;
+  news.number = fixture.lastOrder().number;
   news.sequence = 1;
   news.text = "one";
   news.last_event = 1;
   news.ended = true;
   news.end = fleet::RunEnd::kClosed;
-  REQUIRE_FALSE(stage.lastOrder().after_close);
-  stage.executor().take(RunReport{kSelf, 1, {news}, {}});
-  REQUIRE(stage.proposals() == 0);
-  ExecutorStage::waitUntil(connection::monotonicNow() + fromMillis(200));
-  stage.executor().tick(connection::monotonicNow());
-  REQUIRE(stage.orders() == 2);
-  REQUIRE(stage.lastOrder().last_event == 1);
-  REQUIRE(stage.lastOrder().after_close);
+  REQUIRE_FALSE(fixture.lastOrder().after_close);
+  fixture.executor().take(RunReport{kSelf, 1, {news}, {}});
+  REQUIRE(fixture.proposals() == 0);
+  ExecutorFixture::waitUntil(connection::monotonicNow() + fromMillis(200));
+  fixture.executor().tick(connection::monotonicNow());
+  REQUIRE(fixture.orders() == 2);
+  REQUIRE(fixture.lastOrder().last_event == 1);
+  REQUIRE(fixture.lastOrder().after_close);
 }
 
 TEST_CASE("a result that is refused at once is proposed again later, not from within the refusal",
           "[store][executor]") {
-  ExecutorStage stage;
-  stage.executor().setLeading(true, 1);
-  stage.refuses_proposals = true;
-  stage.report(1, 1, "one", 1, true);
-  REQUIRE(stage.proposals() == 0);
-  stage.refuses_proposals = false;
-  stage.executor().tick(connection::monotonicNow());
-  REQUIRE(stage.proposals() == 1);
-  stage.endProposal(true);
-  REQUIRE(stage.job().results.front().text == "one");
+  ExecutorFixture fixture;
+  fixture.executor().setLeading(true, 1);
+  fixture.refuses_proposals = true;
+  fixture.report(1, 1, "one", 1, true);
+  REQUIRE(fixture.proposals() == 0);
+  fixture.refuses_proposals = false;
+  fixture.executor().tick(connection::monotonicNow());
+  REQUIRE(fixture.proposals() == 1);
+  fixture.endProposal(true);
+  REQUIRE(fixture.job().results.front().text == "one");
 }
 
-TEST_CASE("the runs of a job that has ended count for its engines no more", "[store][executor]") {
-  ExecutorStage stage;
-  stage.executor().setLeading(true, 1);
-  stage.report(1, 1, "one", 1, false);
-  REQUIRE(stage.executor().ownShares(connection::monotonicNow()).size() == 1);
-  stage.apply(EndJob{JobId("j")});
-  stage.executor().noteChange(JobId("j"));
-  REQUIRE(stage.executor().running() == 0);
-  REQUIRE(stage.executor().ownShares(connection::monotonicNow()).empty());
+TEST_CASE("the runs of an ended job no longer count as load of their engines", "[store][executor]") {
+  ExecutorFixture fixture;
+  fixture.executor().setLeading(true, 1);
+  fixture.report(1, 1, "one", 1, false);
+  REQUIRE(fixture.executor().ownShares(connection::monotonicNow()).size() == 1);
+  fixture.apply(EndJob{JobId("j")});
+  fixture.executor().noteChange(JobId("j"));
+  REQUIRE(fixture.executor().running() == 0);
+  REQUIRE(fixture.executor().ownShares(connection::monotonicNow()).empty());
 }
 
-TEST_CASE("a new leader starts no run before it can know what the gateways have in flight", "[store][executor]") {
-  ExecutorStage stage(fromMillis(40));
-  stage.executor().setLeading(true, 1);
-  REQUIRE(stage.orders() == 0);
+TEST_CASE("a new leader starts no run before the gateways had time to report their load", "[store][executor]") {
+  ExecutorFixture fixture(fromMillis(40));
+  fixture.executor().setLeading(true, 1);
+  REQUIRE(fixture.orders() == 0);
   const Instant later = connection::monotonicNow() + fromMillis(45);
   while (connection::monotonicNow() < later) {
   }
-  stage.executor().tick(later);
-  REQUIRE(stage.orders() == 1);
+  fixture.executor().tick(later);
+  REQUIRE(fixture.orders() == 1);
 }
 
 namespace {
 
-/// What a store offers of the run that the first leadership ordered, with one more event than was reported.
+/// A store's offer of the run that the first leadership ordered, with one more event than was reported.
 fleet::RunOffer offerOf(const RunOrder& order, std::uint64_t term, bool whole) {
   fleet::OfferedRun run;
   run.number = order.number;
@@ -266,46 +268,47 @@
 
 }  // namespace
 
-TEST_CASE("a new leader goes on with the runs of the one before, and starts none of them again", "[store][executor]") {
-  ExecutorStage stage(fromMillis(40));
-  stage.executor().setLeading(true, 1);
+TEST_CASE("a new leader adopts the runs of its predecessor, and starts none of them again", "[store][executor]") {
+  ExecutorFixture fixture(fromMillis(40));
+  fixture.executor().setLeading(true, 1);
   const Instant later = connection::monotonicNow() + fromMillis(45);
-  stage.waitUntil(later);
-  stage.executor().tick(later);
-  REQUIRE(stage.orders() == 1);
-  const RunOrder order = stage.lastOrder();
-  const bool kept = GENERATE(false, true);
-  if (kept) {
-    stage.report(1, 1, "one", 1, false);
-    stage.executor().tick(later + fromMillis(1100));
-    REQUIRE(stage.proposals() == 1);
-    stage.endProposal(true);  // The progress up to event 1 is kept.
+  fixture.waitUntil(later);
+  fixture.executor().tick(later);
+  REQUIRE(fixture.orders() == 1);
+  const RunOrder order = fixture.lastOrder();
+  const bool stored = GENERATE(false, true);
+  if (stored) {
+    fixture.report(1, 1, "one", 1, false);
+    fixture.executor().tick(later + fromMillis(1100));
+    REQUIRE(fixture.proposals() == 1);
+    fixture.endProposal(true);  // The progress up to event 1 is stored.
   }
-  stage.executor().setLeading(false, 2);
-  REQUIRE_FALSE(stage.hasStopped(order.number));
-  stage.executor().setLeading(true, 3);
+  fixture.executor().setLeading(false, 2);
+  REQUIRE_FALSE(fixture.hasStopped(order.number));
+  fixture.executor().setLeading(true, 3);
   const bool whole = GENERATE(false, true);
-  stage.executor().take(offerOf(order, 3, whole));
+  fixture.executor().take(offerOf(order, 3, whole));
   if (!whole) {
-    REQUIRE(stage.executor().running() == 1);
-    stage.report(3, 2, "\nthree", 3, true);
+    REQUIRE(fixture.executor().running() == 1);
+    fixture.report(3, 2, "\nthree", 3, true);
   }
   const Instant after = connection::monotonicNow() + fromMillis(45);
-  stage.waitUntil(after);
-  stage.executor().tick(after);
-  REQUIRE(stage.orders() == 1);
-  while (stage.proposals() > 0) stage.endProposal(true);
-  REQUIRE(stage.job().results.size() == 1);
-  REQUIRE(stage.job().results.front().text == (whole ? "one\ntwo" : "one\ntwo\nthree"));
+  fixture.waitUntil(after);
+  fixture.executor().tick(after);
+  REQUIRE(fixture.orders() == 1);
+  while (fixture.proposals() > 0) fixture.endProposal(true);
+  REQUIRE(fixture.job().results.size() == 1);
+  REQUIRE(fixture.job().results.front().text == (whole ? "one\ntwo" : "one\ntwo\nthree"));
 }
 
-TEST_CASE("results that pile up while the group is slow are proposed in entries of bounded size", "[store][executor]") {
+TEST_CASE("results that accumulate while the group is slow are proposed in entries of bounded size",
+          "[store][executor]") {
   constexpr std::size_t kRuns = 30;
   constexpr std::size_t kTextBytes = 100 * 1024;
-  constexpr std::size_t kMostBytes = 256 * 1024 + kTextBytes;
-  ExecutorStage stage(fromMillis(40), kRuns);
-  stage.executor().setLeading(true, 1);
-  // Other stores ran them to their ends for the leader before.
+  constexpr std::size_t kMaxBytes = 256 * 1024 + kTextBytes;
+  ExecutorFixture fixture(fromMillis(40), kRuns);
+  fixture.executor().setLeading(true, 1);
+  // Other stores completed these runs for the previous leader.
   fleet::RunOffer offer{kSelf, 1, {}};
   for (std::size_t i = 0; i < kRuns; ++i) {
     fleet::OfferedRun run;
@@ -322,86 +325,86 @@
     run.end = fleet::RunEnd::kWhole;
     offer.runs.push_back(run);
   }
-  stage.executor().take(offer);
+  fixture.executor().take(offer);
   const Instant later = connection::monotonicNow() + fromMillis(45);
-  stage.waitUntil(later);
-  stage.executor().tick(later);
+  fixture.waitUntil(later);
+  fixture.executor().tick(later);
   std::size_t listed = 0;
-  while (stage.proposals() > 0) {
-    const auto [bytes, results] = stage.listedByOldest();
-    CHECK(bytes <= kMostBytes);
+  while (fixture.proposals() > 0) {
+    const auto [bytes, results] = fixture.listedByOldest();
+    CHECK(bytes <= kMaxBytes);
     listed += results;
-    stage.endProposal(true);
+    fixture.endProposal(true);
   }
   CHECK(listed == kRuns);
-  CHECK(stage.job().results.size() == kRuns);
+  CHECK(fixture.job().results.size() == kRuns);
 }
 
-TEST_CASE("what a leader does not want of what it is offered is stopped", "[store][executor]") {
-  ExecutorStage stage;
-  stage.executor().setLeading(true, 1);
-  const RunOrder order = stage.lastOrder();
-  stage.executor().setLeading(false, 2);
-  stage.executor().setLeading(true, 3);
-  // The item is in flight again already.
-  REQUIRE(stage.orders() == 2);
-  REQUIRE(stage.lastOrder().number != order.number);
-  stage.executor().take(offerOf(order, 3, false));
-  stage.executor().tick(connection::monotonicNow() + fromMillis(300));
-  REQUIRE(stage.hasStopped(order.number));
-  REQUIRE_FALSE(stage.hasStopped(stage.lastOrder().number));
+TEST_CASE("offered runs that a leader does not need are stopped", "[store][executor]") {
+  ExecutorFixture fixture;
+  fixture.executor().setLeading(true, 1);
+  const RunOrder order = fixture.lastOrder();
+  fixture.executor().setLeading(false, 2);
+  fixture.executor().setLeading(true, 3);
+  // The item is already in flight again.
+  REQUIRE(fixture.orders() == 2);
+  REQUIRE(fixture.lastOrder().number != order.number);
+  fixture.executor().take(offerOf(order, 3, false));
+  fixture.executor().tick(connection::monotonicNow() + fromMillis(300));
+  REQUIRE(fixture.hasStopped(order.number));
+  REQUIRE_FALSE(fixture.hasStopped(fixture.lastOrder().number));
 }
 
-TEST_CASE("an offered text of another chain than the kept one is listed whole", "[store][executor]") {
-  ExecutorStage stage(fromMillis(40));
-  stage.executor().setLeading(true, 1);
-  stage.waitUntil(connection::monotonicNow() + fromMillis(45));
-  stage.executor().tick(connection::monotonicNow());
-  const RunOrder order = stage.lastOrder();
-  stage.executor().setLeading(false, 2);
-  stage.apply(SaveProgress{{ItemProgress{JobId("j"), "i", 0, 0, 1, 99, "ONE", 0}}});
-  stage.executor().setLeading(true, 3);
-  stage.executor().take(offerOf(order, 3, true));
-  while (stage.proposals() > 0) stage.endProposal(true);
-  REQUIRE(stage.job().results.front().text == "one\ntwo");
+TEST_CASE("an offered text of another chain than the stored one is listed whole", "[store][executor]") {
+  ExecutorFixture fixture(fromMillis(40));
+  fixture.executor().setLeading(true, 1);
+  fixture.waitUntil(connection::monotonicNow() + fromMillis(45));
+  fixture.executor().tick(connection::monotonicNow());
+  const RunOrder order = fixture.lastOrder();
+  fixture.executor().setLeading(false, 2);
+  fixture.apply(SaveProgress{{ItemProgress{JobId("j"), "i", 0, 0, 1, 99, "ONE", 0}}});
+  fixture.executor().setLeading(true, 3);
+  fixture.executor().take(offerOf(order, 3, true));
+  while (fixture.proposals() > 0) fixture.endProposal(true);
+  REQUIRE(fixture.job().results.front().text == "one\ntwo");
 }
 
-TEST_CASE("a run that was replaced before it is offered is not joined with its successor's text", "[store][executor]") {
-  ExecutorStage stage(fromMillis(40));
-  stage.executor().setLeading(true, 1);
-  stage.waitUntil(connection::monotonicNow() + fromMillis(45));
-  stage.executor().tick(connection::monotonicNow());
-  const RunOrder replaced = stage.lastOrder();
-  stage.report(1, 1, "one", 1, false);
-  // Its store has lost it, as far as the leader knows; another run goes on after event 1 and is kept up to event 2.
-  stage.executor().take(RunReport{kSelf, 1, {}, {}});
-  stage.waitUntil(connection::monotonicNow() + fromMillis(310));
-  stage.executor().tick(connection::monotonicNow());
-  REQUIRE(stage.orders() == 2);
-  REQUIRE(stage.lastOrder().last_event == 1);
-  stage.report(1, 1, "\nTWO", 2, false);
-  while (stage.proposals() > 0) stage.endProposal(true);
-  stage.executor().tick(connection::monotonicNow() + fromMillis(1100));
-  REQUIRE(stage.proposals() == 1);
-  stage.endProposal(true);
-  REQUIRE(stage.job().progress.at("i").last_event == 2);
-  // The store of the replaced run was only out of reach, and offers it to the next leader.
-  stage.executor().setLeading(false, 2);
-  stage.executor().setLeading(true, 3);
+TEST_CASE("the text of a run that was replaced before it is offered is not joined with its successor's text",
+          "[store][executor]") {
+  ExecutorFixture fixture(fromMillis(40));
+  fixture.executor().setLeading(true, 1);
+  fixture.waitUntil(connection::monotonicNow() + fromMillis(45));
+  fixture.executor().tick(connection::monotonicNow());
+  const RunOrder replaced = fixture.lastOrder();
+  fixture.report(1, 1, "one", 1, false);
+  // The leader regards the run as lost; another run resumes after event 1, and its progress is stored up to event 2.
+  fixture.executor().take(RunReport{kSelf, 1, {}, {}});
+  fixture.waitUntil(connection::monotonicNow() + fromMillis(310));
+  fixture.executor().tick(connection::monotonicNow());
+  REQUIRE(fixture.orders() == 2);
+  REQUIRE(fixture.lastOrder().last_event == 1);
+  fixture.report(1, 1, "\nTWO", 2, false);
+  while (fixture.proposals() > 0) fixture.endProposal(true);
+  fixture.executor().tick(connection::monotonicNow() + fromMillis(1100));
+  REQUIRE(fixture.proposals() == 1);
+  fixture.endProposal(true);
+  REQUIRE(fixture.job().progress.at("i").last_event == 2);
+  // The store of the replaced run was only unreachable, and offers the run to the next leader.
+  fixture.executor().setLeading(false, 2);
+  fixture.executor().setLeading(true, 3);
   fleet::RunOffer offer = offerOf(replaced, 3, true);
   offer.runs.front().text = "one\ntwo\nthree";
   offer.runs.front().last_event = 3;
-  stage.executor().take(offer);
-  while (stage.proposals() > 0) stage.endProposal(true);
-  REQUIRE(stage.job().results.size() == 1);
-  REQUIRE(stage.job().results.front().text == "one\ntwo\nthree");
+  fixture.executor().take(offer);
+  while (fixture.proposals() > 0) fixture.endProposal(true);
+  REQUIRE(fixture.job().results.size() == 1);
+  REQUIRE(fixture.job().results.front().text == "one\ntwo\nthree");
 }
 
-TEST_CASE("the progress of many items is proposed in pieces of a bounded size, each item in its turn",
-          "[store][executor]") {
+TEST_CASE("the progress of many items is proposed in entries of bounded size, each item in turn", "[store][executor]") {
   constexpr std::size_t kItems = 5;
-  ExecutorStage stage(fromMillis(40), kItems);
-  stage.executor().setLeading(true, 1);
+  ExecutorFixture fixture(fromMillis(40), kItems);
+  fixture.executor().setLeading(true, 1);
   fleet::RunOffer offer{kSelf, 1, {}};
   for (std::size_t i = 0; i < kItems; ++i) {
     fleet::OfferedRun run;
@@ -415,17 +418,17 @@
     run.last_event = 1;
     offer.runs.push_back(run);
   }
-  stage.executor().take(offer);
-  REQUIRE(stage.executor().running() == kItems);
+  fixture.executor().take(offer);
+  REQUIRE(fixture.executor().running() == kItems);
   std::vector<std::size_t> pieces;
   std::set<std::string> saved;
   const Instant now = connection::monotonicNow();
   for (int tick = 0; tick < 4; ++tick) {
-    stage.executor().tick(now);
-    if (stage.proposals() == 0) continue;
-    pieces.push_back(stage.proposedProgress().size());
-    for (const ItemProgress& entry : stage.proposedProgress()) saved.insert(entry.item);
-    stage.endProposal(true);
+    fixture.executor().tick(now);
+    if (fixture.proposals() == 0) continue;
+    pieces.push_back(fixture.proposedProgress().size());
+    for (const ItemProgress& entry : fixture.proposedProgress()) saved.insert(entry.item);
+    fixture.endProposal(true);
   }
   REQUIRE(pieces == std::vector<std::size_t>{3, 2});
   REQUIRE(saved.size() == kItems);
@@ -433,21 +436,22 @@
 
 namespace {
 
-/// Tells the executor of online requests that have taken all slots of the engine in waves, up to now; none do now.
-void tellWaves(ExecutorStage& stage) {
+/// Reports online load to the executor that has occupied all slots of the engine in load cycles until now; the slots
+/// are free now.
+void reportLoadCycles(ExecutorFixture& fixture) {
   const Instant now = connection::monotonicNow();
-  constexpr std::int64_t kSeen = 20000;
-  constexpr std::int64_t kPeriod = 4000;
-  for (std::int64_t ago = kSeen; ago >= 0; ago -= 50) {
-    // High for the first half of each period that ended half a period before now.
-    const bool is_high = ago % kPeriod >= kPeriod / 2;
+  constexpr std::int64_t kHistoryMs = 20000;
+  constexpr std::int64_t kPeriodMs = 4000;
+  for (std::int64_t ago = kHistoryMs; ago >= 0; ago -= 50) {
+    // High for the older half of each period; the half period before now is low.
+    const bool is_high = ago % kPeriodMs >= kPeriodMs / 2;
     std::vector<request::EngineShare> others;
     if (is_high) others.push_back({EngineId("e"), 8, 0, 0});
-    stage.executor().noteOthers(now - fromMillis(ago), others);
+    fixture.executor().noteOthers(now - fromMillis(ago), others);
   }
 }
 
-constexpr Duration kLoadsKnownAfter = fromMillis(40);
+constexpr Duration kStartDelay = fromMillis(40);
 
 request::LoadFeatures bySlack() {
   request::LoadFeatures load;
@@ -455,47 +459,48 @@
   return load;
 }
 
-void leadWithWaves(ExecutorStage& stage, std::uint64_t term) {
-  stage.executor().setLeading(true, term);
-  tellWaves(stage);
-  ExecutorStage::waitUntil(connection::monotonicNow() + kLoadsKnownAfter + fromMillis(5));
-  stage.executor().tick(connection::monotonicNow());
+void leadWithLoadCycles(ExecutorFixture& fixture, std::uint64_t term) {
+  fixture.executor().setLeading(true, term);
+  reportLoadCycles(fixture);
+  ExecutorFixture::waitUntil(connection::monotonicNow() + kStartDelay + fromMillis(5));
+  fixture.executor().tick(connection::monotonicNow());
 }
 
 }  // namespace
 
-TEST_CASE("an item with slack waits for a place that stays free; a leader that knows no wave begins it",
+TEST_CASE("an item with slack waits for a slot that remains free; a leader without load history starts it",
           "[store][executor][trough]") {
-  ExecutorStage stage(kLoadsKnownAfter, 0, bySlack());
-  leadWithWaves(stage, 1);
-  REQUIRE(stage.orders() == 0);
-  REQUIRE(stage.executor().waiting() == 1);
-  // Its successor has seen no wave: the item isn't held back for what nobody knows.
-  stage.executor().setLeading(false, 2);
-  stage.executor().setLeading(true, 3);
-  ExecutorStage::waitUntil(connection::monotonicNow() + kLoadsKnownAfter + fromMillis(5));
-  stage.executor().tick(connection::monotonicNow());
-  REQUIRE(stage.orders() == 1);
+  ExecutorFixture fixture(kStartDelay, 0, bySlack());
+  leadWithLoadCycles(fixture, 1);
+  REQUIRE(fixture.orders() == 0);
+  REQUIRE(fixture.executor().waiting() == 1);
+  // The next leadership has observed no load cycle, so it does not delay the item.
+  fixture.executor().setLeading(false, 2);
+  fixture.executor().setLeading(true, 3);
+  ExecutorFixture::waitUntil(connection::monotonicNow() + kStartDelay + fromMillis(5));
+  fixture.executor().tick(connection::monotonicNow());
+  REQUIRE(fixture.orders() == 1);
 }
 
-TEST_CASE("an item without slack begins where a place is free now", "[store][executor][trough]") {
-  ExecutorStage stage(kLoadsKnownAfter, 0, bySlack(), /*age_ms=*/7500);
-  leadWithWaves(stage, 1);
-  REQUIRE(stage.orders() == 1);
+TEST_CASE("an item without slack starts at a slot that is free now", "[store][executor][trough]") {
+  ExecutorFixture fixture(kStartDelay, 0, bySlack(), /*age_ms=*/7500);
+  leadWithLoadCycles(fixture, 1);
+  REQUIRE(fixture.orders() == 1);
 }
 
-/// Symptom: 83 accepted items of a day were listed neither as complete nor as errored while engines stood half empty.
-/// Each was past its due time, so that nothing pressed for it, and no room lasted.
-TEST_CASE("an item that is late already is held back by no wave", "[store][executor][trough]") {
-  ExecutorStage stage(kLoadsKnownAfter, 0, bySlack(), /*age_ms=*/30000);
-  leadWithWaves(stage, 1);
-  REQUIRE(stage.orders() == 1);
+// Guards against items that never start: 83 accepted items were listed neither as complete nor as errored while engines
+// were half empty. Each was past its due time, so that it exerted no pressure, and no capacity remained free for long
+// enough.
+TEST_CASE("an item that is already late is not delayed by a load cycle", "[store][executor][trough]") {
+  ExecutorFixture fixture(kStartDelay, 0, bySlack(), /*age_ms=*/30000);
+  leadWithLoadCycles(fixture, 1);
+  REQUIRE(fixture.orders() == 1);
 }
 
-TEST_CASE("with the feature off an item begins where a place is free now", "[store][executor][trough]") {
+TEST_CASE("with the feature off an item starts at a slot that is free now", "[store][executor][trough]") {
   request::LoadFeatures load;
   load.batch_by_slack = false;
-  ExecutorStage stage(kLoadsKnownAfter, 0, load);
-  leadWithWaves(stage, 1);
-  REQUIRE(stage.orders() == 1);
+  ExecutorFixture fixture(kStartDelay, 0, load);
+  leadWithLoadCycles(fixture, 1);
+  REQUIRE(fixture.orders() == 1);
 }
--- a/tests/process/store/run_board_test.cpp
+++ b/tests/process/store/run_board_test.cpp
@@ -19,11 +19,11 @@
 RunBoardLimits limits(std::size_t local, std::size_t most) {
   RunBoardLimits made;
   made.local_runs = local;
-  made.most_runs = most;
+  made.max_runs = most;
   return made;
 }
 
-RunBoard board(std::size_t local, std::size_t most) {
+RunBoard runTable(std::size_t local, std::size_t most) {
   RunBoard made(kHere, limits(local, most));
   made.setRunners({{kHere, kZone}, {kThere, kZone}, {kElsewhere, kOtherZone}});
   return made;
@@ -44,7 +44,7 @@
 }  // namespace
 
 TEST_CASE("the leader keeps the first runs and spreads the rest evenly", "[store][runs]") {
-  RunBoard runs = board(2, 4);
+  RunBoard runs = runTable(2, 4);
   for (int i = 0; i < 12; ++i) {
     const auto runner = runs.chooseRunner(at(0), kZone);
     REQUIRE(runner);
@@ -57,8 +57,8 @@
   REQUIRE_FALSE(runs.chooseRunner(at(0), kZone));
 }
 
-TEST_CASE("a store that is out of reach gets no orders for a while", "[store][runs]") {
-  RunBoard runs = board(0, 4);
+TEST_CASE("an unreachable store gets no orders for a while", "[store][runs]") {
+  RunBoard runs = runTable(0, 4);
   runs.avoid(at(0), kThere);
   for (int i = 0; i < 8; ++i) {
     const auto runner = runs.chooseRunner(at(10), kZone);
@@ -70,8 +70,8 @@
   REQUIRE(runs.chooseRunner(at(5000), kZone) == kThere);
 }
 
-TEST_CASE("news are taken in their order, and a run with a gap in them is lost", "[store][runs]") {
-  RunBoard runs = board(0, 4);
+TEST_CASE("news are accepted in order, and a run with a gap in its news is lost", "[store][runs]") {
+  RunBoard runs = runTable(0, 4);
   const std::uint64_t first = runs.begin(at(0), kThere);
   const std::uint64_t second = runs.begin(at(0), kThere);
   REQUIRE(runs.check(at(100), RunReport{kThere, 1, {news(first, 1), news(second, 1)}, {first, second}}).news.size() ==
@@ -80,21 +80,22 @@
   REQUIRE(gap.news.size() == 1);
   REQUIRE(gap.news.front().number == second);
   REQUIRE(gap.lost == std::vector<std::uint64_t>{first});
-  // The store is told to break it off, and what it says of it later is not taken.
+  // The store is ordered to abort the run, and its later news are ignored.
   REQUIRE(runs.takeLeases(at(300)).at(kThere).stopped == std::vector<std::uint64_t>{first});
   REQUIRE(runs.check(at(400), RunReport{kThere, 1, {news(first, 4, true)}, {}}).news.empty());
   REQUIRE(runs.running() == 0);
 }
 
-TEST_CASE("an order that the store does not know is lost, unless it is too new", "[store][runs]") {
-  RunBoard runs = board(0, 4);
+TEST_CASE("an order that the store does not report as running is lost, unless the order is too recent",
+          "[store][runs]") {
+  RunBoard runs = runTable(0, 4);
   const std::uint64_t number = runs.begin(at(0), kThere);
   REQUIRE(runs.check(at(100), RunReport{kThere, 1, {}, {}}).lost.empty());
   REQUIRE(runs.check(at(900), RunReport{kThere, 1, {}, {}}).lost == std::vector<std::uint64_t>{number});
 }
 
 TEST_CASE("the runs of a store that falls silent are lost", "[store][runs]") {
-  RunBoard runs = board(1, 4);
+  RunBoard runs = runTable(1, 4);
   runs.begin(at(0), kHere);
   const std::uint64_t there = runs.begin(at(0), kThere);
   const std::uint64_t elsewhere = runs.begin(at(0), kElsewhere);
@@ -106,7 +107,7 @@
 }
 
 TEST_CASE("stores with runs get a lease in each interval, and orders to stop at once", "[store][runs]") {
-  RunBoard runs = board(0, 4);
+  RunBoard runs = runTable(0, 4);
   const std::uint64_t number = runs.begin(at(0), kThere);
   REQUIRE(runs.takeLeases(at(300)).size() == 1);
   REQUIRE(runs.takeLeases(at(400)).empty());
@@ -115,8 +116,8 @@
   REQUIRE(runs.takeLeases(at(900)).empty());
 }
 
-TEST_CASE("a run goes to a store in its engine's zone while that has not many more than others", "[store][runs]") {
-  RunBoard runs = board(0, 100);
+TEST_CASE("a run goes to a store in its engine's zone while that has not many more runs than others", "[store][runs]") {
+  RunBoard runs = runTable(0, 100);
   std::size_t there = 0;
   for (int i = 0; i < 30; ++i) {
     const auto runner = runs.chooseRunner(at(0), kOtherZone);
@@ -124,14 +125,14 @@
     if (*runner == kElsewhere) ++there;
     runs.begin(at(0), *runner);
   }
-  // The only store of that zone has more than its even share of ten, but not all.
+  // The only store of that zone has more than its even share of ten, but not all runs.
   REQUIRE(there > 12);
   REQUIRE(there < 25);
   REQUIRE(runs.chooseRunner(at(0), kZone) != kElsewhere);
 }
 
-TEST_CASE("numbers of runs differ over terms, and within a term that begins once more", "[store][runs]") {
-  RunBoard runs = board(0, 100);
+TEST_CASE("run numbers are unique across terms, and within a term that begins again", "[store][runs]") {
+  RunBoard runs = runTable(0, 100);
   std::set<std::uint64_t> numbers;
   for (const std::uint64_t term : {1, 2, 2, 5, 5, 6}) {
     runs.startTerm(at(0), term);
@@ -140,15 +141,15 @@
   REQUIRE(numbers.size() == 18);
 }
 
-TEST_CASE("a run that a store has and the leader does not know is stopped there", "[store][runs]") {
-  RunBoard runs = board(0, 100);
+TEST_CASE("a run that a store reports and the leader has not in its table is stopped there", "[store][runs]") {
+  RunBoard runs = runTable(0, 100);
   runs.startTerm(at(0), 2);
   runs.check(at(100), RunReport{kThere, 2, {}, {77}});
   REQUIRE(runs.takeLeases(at(100)).at(kThere).stopped == std::vector<std::uint64_t>{77});
 }
 
-TEST_CASE("a store is told which of its answers are kept", "[store][runs]") {
-  RunBoard runs = board(0, 100);
+TEST_CASE("a store receives confirmations of the answers that are stored", "[store][runs]") {
+  RunBoard runs = runTable(0, 100);
   runs.startTerm(at(0), 2);
   runs.takeLeases(at(5000));
   runs.acknowledgeAnswer(kThere, 77);
@@ -156,8 +157,8 @@
   REQUIRE(runs.takeLeases(at(5020)).empty());
 }
 
-TEST_CASE("a new leader tells all stores of itself for a while, and once a second later on", "[store][runs]") {
-  RunBoard runs = board(0, 100);
+TEST_CASE("a new leader announces itself to all stores often at first, and once a second later on", "[store][runs]") {
+  RunBoard runs = runTable(0, 100);
   runs.startTerm(at(0), 2);
   REQUIRE(runs.takeLeases(at(0)).size() == 3);
   REQUIRE(runs.takeLeases(at(60)).size() == 3);
