--- a/src/connection/slow_readers.cpp
+++ b/src/connection/slow_readers.cpp
@@ -61,13 +61,13 @@
 
 std::unique_ptr<HeldBytes> SlowReaders::hold(PeerSide side, std::string peer, std::size_t bytes,
                                              std::function<void()> let_go) {
-  const request::HeldId id = budget_.hold(bytes);
+  const request::BufferId id = budget_.hold(bytes);
   peers_.emplace(id, Peer{side, std::move(peer), std::move(let_go)});
   return std::make_unique<HeldBytes>(shared_from_this(), id);
 }
 
 std::unique_ptr<HeldBytes> SlowReaders::collect(std::string peer) {
-  const request::HeldId id = budget_.beginCollecting();
+  const request::BufferId id = budget_.beginCollecting();
   peers_.emplace(id, Peer{PeerSide::kCaller, std::move(peer), nullptr});
   return std::make_unique<HeldBytes>(shared_from_this(), id);
 }
--- a/src/connection/slow_readers.hpp
+++ b/src/connection/slow_readers.hpp
@@ -62,14 +62,14 @@
   asio::io_context& context_;
   Timer timer_;
   request::ByteBudget budget_;
-  std::map<request::HeldId, Peer> peers_;
+  std::map<request::BufferId, Peer> peers_;
   Counters counters_;
 };
 
 /// Bytes that are held for one peer; counted until destroyed.
 class HeldBytes {
  public:
-  HeldBytes(std::shared_ptr<SlowReaders> readers, request::HeldId id) : readers_(std::move(readers)), id_(id) {}
+  HeldBytes(std::shared_ptr<SlowReaders> readers, request::BufferId id) : readers_(std::move(readers)), id_(id) {}
   ~HeldBytes();
   HeldBytes(const HeldBytes&) = delete;
   HeldBytes& operator=(const HeldBytes&) = delete;
@@ -82,7 +82,7 @@
  private:
   friend class SlowReaders;
   std::shared_ptr<SlowReaders> readers_;
-  request::HeldId id_;
+  request::BufferId id_;
 };
 
 /// Calls `noteTaken` as a write goes on. For `asio::async_write`.
--- a/src/process/exchange/gateway_program.hpp
+++ b/src/process/exchange/gateway_program.hpp
@@ -21,7 +21,7 @@
 #include "process/fleet/fleet_settings.hpp"
 #include "process/fleet/load_reporter.hpp"
 #include "process/fleet/metrics_server.hpp"
-#include "request/admission/hold_budget.hpp"
+#include "request/admission/pending_budget.hpp"
 #include "request/exchange/weighted_split.hpp"
 #include "version/dialect.hpp"
 
@@ -95,7 +95,7 @@
   std::shared_ptr<connection::SlowReaders> slow_readers_;
   connection::EngineClient engines_;
   /// Of all requests that wait here, for whatever reason.
-  request::HoldBudget held_;
+  request::PendingBudget held_;
   StartGate start_gate_;
   request::EngineSelector selector_;
   request::ArrivalGate gate_;
--- a/src/process/exchange/gateway_program_requests.cpp
+++ b/src/process/exchange/gateway_program_requests.cpp
@@ -6,7 +6,7 @@
 #include "common/log.hpp"
 #include "process/exchange/header_rules.hpp"
 #include "request/access/caller_identity.hpp"
-#include "request/admission/credit_ask.hpp"
+#include "request/admission/credit_request.hpp"
 
 // A request from its receipt until it runs: what it waits for, and what it is refused for.
 namespace hatchfork::exchange {
@@ -211,9 +211,9 @@
   limited.bytes = request.body.size();
   if (!settings_.load.return_appointments) return limited;
   const Duration remaining = readMilliseconds(request.header(dialect_->headers().remaining_ms)).value_or(route.timeout);
-  limited.ask = request::askOf(route.objective, std::min(remaining, route.timeout), remaining);
+  limited.ask = request::creditRequestFor(route.objective, std::min(remaining, route.timeout), remaining);
   limited.ask.content =
-      request::contentNumber({tenant.id.value, request.method, request.header("Host"), request.target, request.body});
+      request::contentHash({tenant.id.value, request.method, request.header("Host"), request.target, request.body});
   if (settings_.load.ordered_waiting) limited.ask.rank = route.priority;
   return limited;
 }
--- a/src/process/exchange/rate_limit_client.cpp
+++ b/src/process/exchange/rate_limit_client.cpp
@@ -73,14 +73,14 @@
     }
     if (!waiter.asked_at && entry.account.tryTake(now)) co_return okStatus();
     const bool is_late = now >= waiter.since + (waiter.asked_at ? kPatience : kPatienceUnasked);
-    if (is_late) entry.account.noteNoAnswer(now, entry.limits);
-    if (entry.account.isCutOff(now)) co_return admitAlone(now, tenant, entry);
+    if (is_late) entry.account.noteNoResponse(now, entry.limits);
+    if (entry.account.isOwnerUnreachable(now)) co_return admitAlone(now, tenant, entry);
     if (entry.account.isOverLimit(now)) {
       ++counters_.over_limit;
-      co_return overLimit(now, tenant, entry, entry.account.comeBackAfter(now, entry.limits));
+      co_return overLimit(now, tenant, entry, entry.account.retryDelay(now, entry.limits));
     }
     ask(now, tenant, entry);
-    if (!entry.account.isCutOff(now)) co_await waitForAnswer(now, waiter, entry);
+    if (!entry.account.isOwnerUnreachable(now)) co_await waitForAnswer(now, waiter, entry);
   }
 }
 
@@ -89,7 +89,7 @@
   for (Waiter* waiter : entry.waiting) {
     if (!waiter->asked_at && !waiter->reply && unasked.size() < kMostAsks) unasked.push_back(waiter);
   }
-  std::optional<request::CreditQuestion> question = entry.account.nextQuestion(now, unasked.size());
+  std::optional<request::CreditRequest> question = entry.account.nextRequest(now, unasked.size());
   if (!question) return;
   ++counters_.questions;
   for (Waiter* waiter : unasked) {
@@ -99,15 +99,15 @@
   }
   const ReplicaId owner = request::limitOwnerOf(tenant, owners_);
   if (!owner.empty() && send_(owner, fleet::CreditQuestionFrame{tenant, *question})) return;
-  entry.account.noteNoAnswer(now, entry.limits);
+  entry.account.noteNoResponse(now, entry.limits);
   logEvent(LogLevel::kInfo, "rate_limit_owner_lost",
            {{"tenant", tenant.value}, {"owner", owner.value}, {"cause", "no connection"}});
 }
 
 Awaitable<void> RateLimitClient::waitForAnswer(Instant now, Waiter& waiter, const Entry& entry) {
   Instant until = waiter.since + (waiter.asked_at ? kPatience : kPatienceUnasked);
-  if (!waiter.asked_at && !entry.account.isAsking()) {
-    until = std::min(until, entry.account.askAgainAt());
+  if (!waiter.asked_at && !entry.account.isRequestInFlight()) {
+    until = std::min(until, entry.account.nextRequestAt());
   }
   waiter.timer.expires_at(std::max(until, now + kShortestWait));
   boost::system::error_code ignored;
@@ -116,7 +116,7 @@
 
 Awaitable<std::optional<Status>> RateLimitClient::followReply(const TenantId& tenant, Entry& entry, Waiter& waiter) {
   const Instant now = monotonicNow();
-  const request::CreditReply reply = *waiter.reply;
+  const request::CreditDecision reply = *waiter.reply;
   if (reply.outcome == request::CreditOutcome::kGranted) {
     entry.account.noteGranted(now);
     co_return okStatus();
@@ -125,7 +125,7 @@
     ++counters_.over_limit;
     co_return sentAway(now, tenant, entry, reply);
   }
-  const request::HeldPlace place(holds_, waiter.limited.bytes);
+  const request::PendingReservation place(holds_, waiter.limited.bytes);
   if (!place.entered()) {
     ++counters_.over_limit;
     logWait(tenant, entry, waiter, "no_room");
@@ -141,12 +141,13 @@
   waiter.since = monotonicNow();
   // What it has waited is gone from what it can still use.
   const Duration waited = waiter.since - now;
-  for (Duration* left : {&waiter.ask.in_time, &waiter.ask.at_all}) *left = std::max(Duration::zero(), *left - waited);
+  for (Duration* left : {&waiter.ask.max_timely_wait, &waiter.ask.max_useful_wait})
+    *left = std::max(Duration::zero(), *left - waited);
   co_return std::nullopt;
 }
 
 Status RateLimitClient::admitAlone(Instant now, const TenantId& tenant, Entry& entry) {
-  const bool has_part = entry.account.tryTakeOwnPart(now);
+  const bool has_part = entry.account.tryTakeLocalShare(now);
   logEvent(LogLevel::kInfo, "rate_limit_unanswered", {{"tenant", tenant.value}, {"admitted", has_part}});
   if (has_part) {
     ++counters_.admitted_alone;
@@ -160,21 +161,22 @@
 }
 
 Error RateLimitClient::overLimit(Instant now, const TenantId& tenant, Entry& entry, Duration come_back_after) const {
-  const auto answered = entry.account.answeredAt();
+  const auto answered = entry.account.lastResponseAt();
   return Error{ErrorKind::kRateLimited,
                fmt::format("tenant {} is over its limit of {:g} requests a second: {:.1f} lately, as told {} ms ago",
                            tenant.value, entry.limits.online_requests_per_second,
-                           entry.account.lastAnswer().used_per_second, answered ? toMillis(now - *answered) : -1),
+                           entry.account.lastResponse().used_per_second, answered ? toMillis(now - *answered) : -1),
                "come back at the given time, or ask the operators for a higher limit", Executed::kNo, come_back_after};
 }
 
-Error RateLimitClient::sentAway(Instant now, const TenantId& tenant, Entry& entry, const request::CreditReply& reply) {
+Error RateLimitClient::sentAway(Instant now, const TenantId& tenant, Entry& entry,
+                                const request::CreditDecision& reply) {
   Error error = overLimit(now, tenant, entry, std::max(reply.after, kShortestReturn));
   const bool is_kept =
-      reply.outcome == request::CreditOutcome::kReturn || reply.outcome == request::CreditOutcome::kWait;
+      reply.outcome == request::CreditOutcome::kRetryReserved || reply.outcome == request::CreditOutcome::kWait;
   if (is_kept) ++counters_.appointments;
   const std::string_view agreed = is_kept ? "a credit is kept for it in"
-                                  : reply.outcome == request::CreditOutcome::kReturnUnkept
+                                  : reply.outcome == request::CreditOutcome::kRetryUnreserved
                                       ? "none is free while its caller stays away, for"
                                       : "none comes while it is of use to its caller; looked ahead";
   error.message += fmt::format("; {} {} ms", agreed, toMillis(reply.after));
@@ -183,15 +185,15 @@
 
 void RateLimitClient::logWait(const TenantId& tenant, const Entry& entry, const Waiter& waiter,
                               std::string_view outcome) const {
-  const auto answered = entry.account.answeredAt();
+  const auto answered = entry.account.lastResponseAt();
   logEvent(LogLevel::kInfo, "credit_awaited",
            {{"request", waiter.limited.id},
             {"tenant", tenant.value},
             {"outcome", outcome},
             {"kept_after_ms", waiter.reply ? toMillis(waiter.reply->after) : -1},
-            {"in_time_ms", toMillis(waiter.ask.in_time)},
-            {"at_all_ms", toMillis(waiter.ask.at_all)},
-            {"level", fmt::format("{:.2f}", entry.account.lastAnswer().level)},
+            {"in_time_ms", toMillis(waiter.ask.max_timely_wait)},
+            {"at_all_ms", toMillis(waiter.ask.max_useful_wait)},
+            {"level", fmt::format("{:.2f}", entry.account.lastResponse().level)},
             {"answer_age_ms", answered ? toMillis(monotonicNow() - *answered) : -1},
             {"held_requests", holds_.requests()}});
 }
@@ -202,10 +204,10 @@
   Entry& entry = found->second;
   const Instant now = monotonicNow();
   if (frame.is_owner) {
-    entry.account.noteAnswer(now, frame.answer);
+    entry.account.noteResponse(now, frame.answer);
     takeReplies(frame.answer, entry);
   } else {
-    entry.account.noteNoAnswer(now, entry.limits);
+    entry.account.noteNoResponse(now, entry.limits);
     logEvent(LogLevel::kInfo, "rate_limit_owner_lost", {{"tenant", frame.tenant.value}, {"cause", "not the owner"}});
   }
   for (Waiter* waiter : entry.waiting) {
@@ -215,8 +217,8 @@
   }
 }
 
-void RateLimitClient::takeReplies(const request::CreditAnswer& answer, Entry& entry) {
-  for (const request::CreditReply& reply : answer.replies) {
+void RateLimitClient::takeReplies(const request::CreditResponse& answer, Entry& entry) {
+  for (const request::CreditDecision& reply : answer.replies) {
     const auto waiter = std::find_if(entry.waiting.begin(), entry.waiting.end(), [&](const Waiter* one) {
       return one->asked_at && !one->reply && one->ask.content == reply.content;
     });
@@ -225,7 +227,7 @@
     (*waiter)->is_new_reply = true;
   }
   // Without appointments, credits are for those who wait alike.
-  if (answer.gives_appointments) return;
+  if (answer.supports_scheduled_retries) return;
   for (Waiter* waiter : entry.waiting) {
     if (!waiter->reply) waiter->asked_at.reset();
   }
--- a/src/process/exchange/rate_limit_client.hpp
+++ b/src/process/exchange/rate_limit_client.hpp
@@ -11,7 +11,7 @@
 #include "connection/http_server.hpp"
 #include "process/fleet/fleet_messages.hpp"
 #include "process/metrics/metrics_page.hpp"
-#include "request/admission/hold_budget.hpp"
+#include "request/admission/pending_budget.hpp"
 #include "request/limits/rate_limit_account.hpp"
 #include "version/configuration_objects.hpp"
 
@@ -38,7 +38,7 @@
 /// A request that needs a credit.
 struct LimitedRequest {
   std::string_view id;
-  request::CreditAsk ask;
+  request::CreditRequestEntry ask;
   /// What it takes of the memory for requests that wait.
   std::size_t bytes = 0;
 };
@@ -50,8 +50,8 @@
   /// Sends a question to a store; false if there is no connection.
   using SendFunction = std::function<bool(const ReplicaId& to, const fleet::CreditQuestionFrame& question)>;
 
-  RateLimitClient(connection::asio::io_context& context, request::RateLimitOptions options, request::HoldBudget& holds,
-                  SendFunction send)
+  RateLimitClient(connection::asio::io_context& context, request::RateLimitOptions options,
+                  request::PendingBudget& holds, SendFunction send)
       : context_(context), options_(options), holds_(holds), send_(std::move(send)) {}
 
   /// The stores that own limits, as the newest membership names them.
@@ -71,12 +71,12 @@
   struct Waiter {
     const LimitedRequest& limited;
     /// What it can use now.
-    request::CreditAsk ask;
+    request::CreditRequestEntry ask;
     connection::Timer timer;
     /// Since when it waits for what it waits for now: to be asked for, or for the answer.
     Instant since;
     std::optional<Instant> asked_at = std::nullopt;
-    std::optional<request::CreditReply> reply = std::nullopt;
+    std::optional<request::CreditDecision> reply = std::nullopt;
     bool is_new_reply = false;
     bool has_left = false;
   };
@@ -91,19 +91,19 @@
   /// Asks the owner for those who wait and were not asked for yet, and for those that are likely soon.
   void ask(Instant now, const TenantId& tenant, Entry& entry);
   /// Until the owner has answered, or may be asked, or is given up.
-  static void takeReplies(const request::CreditAnswer& answer, Entry& entry);
+  static void takeReplies(const request::CreditResponse& answer, Entry& entry);
   connection::Awaitable<void> waitForAnswer(Instant now, Waiter& waiter, const Entry& entry);
   connection::Awaitable<Status> waitForCredit(const TenantId& tenant, Entry& entry, Waiter& waiter);
   /// What the owner's reply to the request itself means; nothing if it is to wait and ask again.
   connection::Awaitable<std::optional<Status>> followReply(const TenantId& tenant, Entry& entry, Waiter& waiter);
   Status admitAlone(Instant now, const TenantId& tenant, Entry& entry);
   Error overLimit(Instant now, const TenantId& tenant, Entry& entry, Duration come_back_after) const;
-  Error sentAway(Instant now, const TenantId& tenant, Entry& entry, const request::CreditReply& reply);
+  Error sentAway(Instant now, const TenantId& tenant, Entry& entry, const request::CreditDecision& reply);
   void logWait(const TenantId& tenant, const Entry& entry, const Waiter& waiter, std::string_view outcome) const;
 
   connection::asio::io_context& context_;
   request::RateLimitOptions options_;
-  request::HoldBudget& holds_;
+  request::PendingBudget& holds_;
   SendFunction send_;
   std::vector<ReplicaId> owners_;
   std::map<TenantId, Entry> entries_;
--- a/src/process/exchange/start_gate.cpp
+++ b/src/process/exchange/start_gate.cpp
@@ -24,9 +24,9 @@
 Awaitable<StartGate::Result> StartGate::pass(std::function<bool()> is_open, request::EarlyArrival arrival,
                                              std::size_t bytes, connection::ResponseWriter& writer) {
   if (is_open()) co_return Result{};
-  const request::StartDecision decision = decisions_->decide(monotonicNow(), arrival);
+  const request::StartupDecision decision = decisions_->decide(monotonicNow(), arrival);
   const bool is_holdable = may_hold_ && decision.until;
-  std::optional<request::HeldPlace> place;
+  std::optional<request::PendingReservation> place;
   if (is_holdable) place.emplace(budget_, bytes);
   if (!place || !place->entered()) {
     ++counters_.refused;
--- a/src/process/exchange/start_gate.hpp
+++ b/src/process/exchange/start_gate.hpp
@@ -9,8 +9,8 @@
 #include "connection/asio.hpp"
 #include "connection/http_server.hpp"
 #include "process/metrics/metrics_page.hpp"
-#include "request/admission/hold_budget.hpp"
-#include "request/admission/start_hold.hpp"
+#include "request/admission/pending_budget.hpp"
+#include "request/admission/startup_admission.hpp"
 
 namespace hatchfork::exchange {
 
@@ -36,7 +36,7 @@
     bool was_held = false;
   };
 
-  StartGate(connection::asio::io_context& context, request::HoldBudget& budget, std::uint64_t seed)
+  StartGate(connection::asio::io_context& context, request::PendingBudget& budget, std::uint64_t seed)
       : context_(context), budget_(budget), seed_(seed) {}
 
   /// The gateway's start begins now; `may_hold` is false where requests are to be refused at once.
@@ -59,9 +59,9 @@
   connection::Awaitable<Outcome> hold(std::function<bool()> is_open, Instant until, connection::ResponseWriter& writer);
 
   connection::asio::io_context& context_;
-  request::HoldBudget& budget_;
+  request::PendingBudget& budget_;
   std::uint64_t seed_;
-  std::optional<request::StartHold> decisions_;
+  std::optional<request::StartupAdmission> decisions_;
   bool may_hold_ = false;
   /// Oldest first.
   std::deque<std::shared_ptr<Waiter>> waiting_;
--- a/src/process/fleet/crash_messages.hpp
+++ b/src/process/fleet/crash_messages.hpp
@@ -23,10 +23,10 @@
   json.at(3).get_to(record.ran_ms);
 }
 
-inline void to_json(nlohmann::json& json, const InnocenceRecord& record) {
+inline void to_json(nlohmann::json& json, const CompleteAnswerRecord& record) {
   json = nlohmann::json::array({record.content, record.age_ms});
 }
-inline void from_json(const nlohmann::json& json, InnocenceRecord& record) {
+inline void from_json(const nlohmann::json& json, CompleteAnswerRecord& record) {
   json.at(0).get_to(record.content);
   json.at(1).get_to(record.age_ms);
 }
@@ -64,7 +64,7 @@
 struct CrashNotesFrame {
   static constexpr std::string_view kKind = "cn";
   std::vector<request::CrashRecord> crashes;
-  std::vector<request::InnocenceRecord> innocents;
+  std::vector<request::CompleteAnswerRecord> innocents;
   std::vector<SuspectRun> runs;
   /// The sender wants to be told what becomes known; where its digest differs from the receiver's, all of it.
   bool is_hello = false;
--- a/src/process/fleet/crash_watch.cpp
+++ b/src/process/fleet/crash_watch.cpp
@@ -106,7 +106,7 @@
 void CrashWatch::noteAnswered(Instant now, const RequestFingerprint& content) {
   if (!ledger_.knows(content)) return;
   const bool was_suspect = judge(content).isSuspect();
-  if (!ledger_.noteInnocent(now, content) || !was_suspect) return;
+  if (!ledger_.noteCompleteAnswer(now, content) || !was_suspect) return;
   logEvent(LogLevel::kInfo, "request_cleared", {{"content", content.value}});
   news_.innocents.push_back({content, 0});
   tell();
@@ -124,8 +124,8 @@
 
 CrashNotesFrame CrashWatch::take(Instant now, const CrashNotesFrame& notes) {
   CrashNotesFrame fresh;
-  for (const request::InnocenceRecord& record : notes.innocents) {
-    if (ledger_.noteInnocent(now - fromMillis(record.age_ms), record.content)) fresh.innocents.push_back(record);
+  for (const request::CompleteAnswerRecord& record : notes.innocents) {
+    if (ledger_.noteCompleteAnswer(now - fromMillis(record.age_ms), record.content)) fresh.innocents.push_back(record);
   }
   for (const request::CrashRecord& record : notes.crashes) {
     const bool is_new =
--- a/src/process/fleet/crash_watch.hpp
+++ b/src/process/fleet/crash_watch.hpp
@@ -62,7 +62,7 @@
   /// All that is known, newest first, up to a bound.
   CrashNotesFrame everything(Instant now) const;
   /// Ends of engines under requests that are refused for them, to be kept.
-  std::vector<request::CrashRecord> crashesOfConvicted(Instant now) { return ledger_.crashesOfConvicted(now); }
+  std::vector<request::CrashRecord> crashesOfQuarantined(Instant now) { return ledger_.crashesOfQuarantined(now); }
   std::uint64_t digest() const { return ledger_.digest(); }
   /// Call about once a second.
   void expire(Instant now);
--- a/src/process/fleet/limit_messages.hpp
+++ b/src/process/fleet/limit_messages.hpp
@@ -16,14 +16,14 @@
 struct CreditQuestionFrame {
   static constexpr std::string_view kKind = "cq";
   TenantId tenant;
-  request::CreditQuestion question;
+  request::CreditRequest question;
 };
 inline void to_json(nlohmann::json& json, const CreditQuestionFrame& frame) {
   json = nlohmann::json::array({frame.tenant, frame.question.wanted});
   if (frame.question.asks.empty() && frame.question.arrivals <= 0) return;
   nlohmann::json asks = nlohmann::json::array();
-  for (const request::CreditAsk& ask : frame.question.asks) {
-    asks.push_back({ask.content, ask.rank, ask.in_time.count(), ask.at_all.count(), ask.away.count()});
+  for (const request::CreditRequestEntry& ask : frame.question.asks) {
+    asks.push_back({ask.content, ask.rank, ask.max_timely_wait.count(), ask.max_useful_wait.count(), ask.away.count()});
   }
   json.push_back(frame.question.arrivals);
   json.push_back(std::move(asks));
@@ -36,7 +36,7 @@
   if (json.size() > kArrivals) json.at(kArrivals).get_to(frame.question.arrivals);
   if (json.size() <= kAsks) return;
   for (const nlohmann::json& ask : json.at(kAsks)) {
-    frame.question.asks.push_back(request::CreditAsk{
+    frame.question.asks.push_back(request::CreditRequestEntry{
         ask.at(0).get<std::uint64_t>(), ask.at(1).get<std::uint32_t>(), Duration(ask.at(2).get<Duration::rep>()),
         Duration(ask.at(3).get<Duration::rep>()), Duration(ask.at(4).get<Duration::rep>())});
   }
@@ -47,17 +47,17 @@
   static constexpr std::string_view kKind = "ca";
   TenantId tenant;
   bool is_owner = false;
-  request::CreditAnswer answer;
+  request::CreditResponse answer;
 };
 inline void to_json(nlohmann::json& json, const CreditAnswerFrame& frame) {
   json = nlohmann::json::array({frame.tenant, frame.is_owner, frame.answer.granted, frame.answer.used_per_second,
                                 frame.answer.level, frame.answer.wait.count()});
-  if (!frame.answer.gives_appointments) return;
+  if (!frame.answer.supports_scheduled_retries) return;
   nlohmann::json replies = nlohmann::json::array();
-  for (const request::CreditReply& reply : frame.answer.replies) {
+  for (const request::CreditDecision& reply : frame.answer.replies) {
     replies.push_back({reply.content, static_cast<std::uint8_t>(reply.outcome), reply.after.count()});
   }
-  json.push_back(frame.answer.is_tight);
+  json.push_back(frame.answer.is_scarce);
   json.push_back(std::move(replies));
 }
 inline void from_json(const nlohmann::json& json, CreditAnswerFrame& frame) {
@@ -70,16 +70,16 @@
   constexpr std::size_t kIsTight = 6;
   constexpr std::size_t kReplies = 7;
   if (json.size() <= kReplies) return;
-  frame.answer.gives_appointments = true;
-  json.at(kIsTight).get_to(frame.answer.is_tight);
+  frame.answer.supports_scheduled_retries = true;
+  json.at(kIsTight).get_to(frame.answer.is_scarce);
   for (const nlohmann::json& reply : json.at(kReplies)) {
     const auto outcome = reply.at(1).get<std::uint8_t>();
     // What a later release may add is a refusal for this one.
-    const bool is_known = outcome <= static_cast<std::uint8_t>(request::CreditOutcome::kReturnUnkept);
-    frame.answer.replies.push_back(
-        request::CreditReply{reply.at(0).get<std::uint64_t>(),
-                             is_known ? static_cast<request::CreditOutcome>(outcome) : request::CreditOutcome::kRefused,
-                             Duration(reply.at(2).get<Duration::rep>())});
+    const bool is_known = outcome <= static_cast<std::uint8_t>(request::CreditOutcome::kRetryUnreserved);
+    frame.answer.replies.push_back(request::CreditDecision{
+        reply.at(0).get<std::uint64_t>(),
+        is_known ? static_cast<request::CreditOutcome>(outcome) : request::CreditOutcome::kRefused,
+        Duration(reply.at(2).get<Duration::rep>())});
   }
 }
 
--- a/src/process/gateway/batch_runner.cpp
+++ b/src/process/gateway/batch_runner.cpp
@@ -45,7 +45,7 @@
 void BatchRunner::setBusyGroups(const std::vector<GroupId>& groups) {
   for (auto& [group, state] : groups_) {
     const bool busy = std::find(groups.begin(), groups.end(), group) != groups.end();
-    if (busy && !state.busy) state.pacer.askAtOnce();
+    if (busy && !state.busy) state.pacer.requestImmediately();
     state.busy = busy;
   }
 }
@@ -53,7 +53,7 @@
 void BatchRunner::noteSealed(GroupId group) {
   GroupState& state = groups_[group];
   state.busy = true;
-  state.pacer.askAtOnce();
+  state.pacer.requestImmediately();
 }
 
 bool BatchRunner::isDrained() const {
--- a/src/process/gateway/batch_runner.hpp
+++ b/src/process/gateway/batch_runner.hpp
@@ -92,7 +92,7 @@
   connection::ControlClient& control_;
   std::map<GroupId, GroupState> groups_;
   std::map<ServiceId, std::deque<ItemPtr>> ready_;
-  std::map<ServiceId, request::StrandedItems> stranded_;
+  std::map<ServiceId, request::StrandedItemDetector> stranded_;
   std::map<request::AttemptId, ItemPtr> running_;
   request::AttemptId last_attempt_ = 0;
   bool draining_ = false;
--- a/src/process/store/crash_relay.hpp
+++ b/src/process/store/crash_relay.hpp
@@ -32,12 +32,12 @@
   void setNewsHandler(std::function<void()> on_news) { on_news_ = std::move(on_news); }
 
   /// The aggregators of all zones, this store left out.
-  void setHubs(std::vector<ReplicaId> hubs) { hubs_ = std::move(hubs); }
+  void setAggregators(std::vector<ReplicaId> hubs) { hubs_ = std::move(hubs); }
   void take(Instant now, const fleet::CrashNotesFrame& notes, const Receiver& from);
   /// What a store tells that was asked from here.
   void takeAnswer(Instant now, const fleet::CrashNotesFrame& notes);
   /// What the group keeps.
-  void takeKept(Instant now, const fleet::CrashNotesFrame& notes) { keep(watch_.take(now, notes), told_by_hubs_); }
+  void takeStored(Instant now, const fleet::CrashNotesFrame& notes) { keep(watch_.take(now, notes), told_by_hubs_); }
   /// Passes on what was told here and what this store itself has seen since the last call.
   void flush();
   void drop(const void* connection) { receivers_.erase(connection); }
--- a/src/process/store/item_runner.hpp
+++ b/src/process/store/item_runner.hpp
@@ -40,12 +40,12 @@
   /// Sends reports that are due, and breaks off runs whose leader has fallen silent; call several times a second.
   void tick(Instant now);
   /// Breaks off everything and tells the leader so, for a planned stop.
-  void handBack();
+  void abortAll();
   void closeIdle(const std::function<bool(const EngineId&)>& in_use) { engines_.closeIdle(in_use); }
 
   std::size_t running() const { return runs_.size(); }
   /// Answers of engines that no leader is known to have kept.
-  std::size_t unkeptAnswers() const { return answers_.size(); }
+  std::size_t unconfirmedAnswers() const { return answers_.size(); }
 
  private:
   struct Run {
--- a/src/process/store/job_executor.cpp
+++ b/src/process/store/job_executor.cpp
@@ -36,8 +36,8 @@
 /// Results that a new leader learns from.
 constexpr std::size_t kMostLearnedFrom = 100;
 
-RunBoardLimits boardLimits(std::size_t most_runs) {
-  RunBoardLimits limits;
+RunTableLimits boardLimits(std::size_t most_runs) {
+  RunTableLimits limits;
   limits.most_runs = most_runs;
   return limits;
 }
@@ -51,7 +51,7 @@
       propose_(std::move(propose)),
       send_(std::move(send)),
       crashes_(crashes),
-      board_(options_.self, boardLimits(options_.most_running)),
+      board_(options_.self, boardLimits(options_.max_running)),
       selector_(options_.seed),
       split_(options_.seed),
       chains_(options_.seed) {}
@@ -89,7 +89,7 @@
   starts_from_ = now + options_.loads_known_after;
   adopted_ = 0;
   // What was learned in an earlier leadership is old.
-  trough_ = request::BatchTrough();
+  trough_ = request::TroughScheduler();
   heard_stores_.clear();
   board_.startTerm(now, term);
   learnFromResults();
@@ -214,17 +214,17 @@
 Instant JobExecutor::dueTimeOf(Instant now, const StoredJob& job) {
   const Route* route = routeOf(job);
   if (route == nullptr || route->completion_target == Duration::zero()) return Instant::max();
-  run_times_.setGuess(route->completion_target / kGuessedShareOfTarget);
+  run_times_.setInitialEstimate(route->completion_target / kGuessedShareOfTarget);
   const std::int64_t age_ms = std::max<std::int64_t>(0, connection::wallNow() - job.submission.submitted_at);
   return now + route->completion_target - fromMillis(age_ms);
 }
 
 request::DueItem JobExecutor::dueItemOf(const ItemRun& run) const {
-  return request::DueItem{run.due, run_times_.timeLeft(run.events)};
+  return request::DueItem{run.due, run_times_.remainingTime(run.events)};
 }
 
 double JobExecutor::urgencyOf(Instant now, const ItemRun& run) const {
-  return request::urgencyOf(now, dueItemOf(run), run_times_.wholeTime());
+  return request::urgencyOf(now, dueItemOf(run), run_times_.totalRunTime());
 }
 
 void JobExecutor::learnFromResults() {
@@ -232,7 +232,7 @@
   for (const auto& [id, job] : state_->jobs()) {
     for (const ItemResult& result : job.results) {
       if (result.outcome != ItemOutcome::kCompleted || learned >= kMostLearnedFrom) continue;
-      run_times_.noteWhole(eventsIn(result.text));
+      run_times_.noteCompletedItem(eventsIn(result.text));
       ++learned;
     }
   }
--- a/src/process/store/job_executor.hpp
+++ b/src/process/store/job_executor.hpp
@@ -14,12 +14,12 @@
 #include "process/fleet/crash_watch.hpp"
 #include "process/fleet/feed_client.hpp"
 #include "process/store/job_state.hpp"
-#include "process/store/run_board.hpp"
+#include "process/store/run_table.hpp"
 #include "request/access/allowed_zones.hpp"
-#include "request/admission/batch_trough.hpp"
 #include "request/admission/fair_share.hpp"
 #include "request/admission/load_features.hpp"
-#include "request/admission/yield_choice.hpp"
+#include "request/admission/preemption_choice.hpp"
+#include "request/admission/trough_scheduler.hpp"
 #include "request/batch/due_order.hpp"
 #include "request/batch/run_time_model.hpp"
 #include "request/exchange/engine_selector.hpp"
@@ -35,7 +35,7 @@
   std::uint64_t seed = 1;
   request::LoadFeatures load;
   /// Most items in flight at once at one store.
-  std::size_t most_running = 400;
+  std::size_t max_running = 400;
   /// Gateways find a new leader and tell it their load within this time; it starts no run before.
   Duration loads_known_after = fromMillis(300);
 };
@@ -45,9 +45,9 @@
   std::uint64_t completed = 0;
   std::uint64_t errored = 0;
   std::uint64_t broken = 0;
-  std::uint64_t yielded = 0;
+  std::uint64_t preempted = 0;
   /// Failed runs that were counted for their items.
-  std::uint64_t failures_kept = 0;
+  std::uint64_t failures_stored = 0;
 };
 
 /// Decides, while this process leads the store group, which items of the open jobs run, at which engine, and which
@@ -81,7 +81,7 @@
   /// What a store runs for earlier leaders: open items go on there, anything else is stopped.
   void take(const fleet::RunOffer& offer);
   /// An online request wants the slot of a run at this engine: one gives way at once.
-  void giveWay(const EngineId& engine);
+  void preemptAt(const EngineId& engine);
   /// Drives retries, leases and retention; call several times a second.
   void tick(Instant now);
 
@@ -90,15 +90,15 @@
   std::uint64_t term() const { return term_; }
   /// What the runs here have in flight, and what all gateways have.
   std::vector<request::EngineShare> ownShares(Instant now) { return selector_.ownShares(now); }
-  void noteOthers(Instant now, const std::vector<request::EngineShare>& others);
+  void notePeerLoads(Instant now, const std::vector<request::EngineShare>& others);
   const JobExecutorCounters& counters() const { return counters_; }
   bool knowsEngine(const EngineId& engine) const { return selector_.knows(engine); }
   bool isServing(const EngineId& engine) const { return selector_.isServing(engine); }
   std::size_t running() const { return runs_.size(); }
   std::size_t waiting() const { return queue_.size() + held_.size(); }
-  const request::BatchTrough& trough() const { return trough_; }
+  const request::TroughScheduler& trough() const { return trough_; }
   const std::set<ServiceId>& batchServices() const { return batch_services_; }
-  Duration wholeRunTime() const { return run_times_.wholeTime(); }
+  Duration estimatedRunTime() const { return run_times_.totalRunTime(); }
 
  private:
   static constexpr Duration kYieldInterval = fromMillis(50);
@@ -277,7 +277,7 @@
   ProposeFunction propose_;
   SendFunction send_;
   fleet::CrashWatch& crashes_;
-  RunBoard board_;
+  RunTable board_;
   request::EngineSelector selector_;
   request::WeightedSplit split_;
   const JobState* state_ = nullptr;
@@ -298,7 +298,7 @@
   std::size_t adopted_ = 0;
   request::RunTimeModel run_times_;
   std::set<ServiceId> batch_services_;
-  request::BatchTrough trough_;
+  request::TroughScheduler trough_;
   request::FairShare shares_;
   Instant trough_noted_at_{};
   Instant next_plan_{};
--- a/src/process/store/job_executor_failures.cpp
+++ b/src/process/store/job_executor_failures.cpp
@@ -93,7 +93,7 @@
   if (job == nullptr || run->stopped || run->has_outcome) return;
   const auto kept = job->progress.find(run->item);
   if (kept != job->progress.end()) run->failures = kept->second.failures;
-  ++counters_.failures_kept;
+  ++counters_.failures_stored;
   const Route* route = routeOf(*job);
   const std::uint32_t most = route == nullptr ? 1 : std::max<std::uint32_t>(1, route->most_attempts);
   const bool attempts_used = route != nullptr && run->failures >= most;
--- a/src/process/store/job_executor_runs.cpp
+++ b/src/process/store/job_executor_runs.cpp
@@ -51,7 +51,7 @@
   run->number = board_.begin(now, runner);
   run->ticket = selector_.begin(now, choice.engine.id, query);
   run->begun_at = now;
-  const Duration time_left = run_times_.timeLeft(run->events);
+  const Duration time_left = run_times_.remainingTime(run->events);
   trough_.noteBegun({choice.engine.service, choice.engine.zone, time_left});
   if (sharesFairly()) {
     run->share = shares_.enter(now, run->tenant, toSeconds(time_left) * 1000);
@@ -245,7 +245,7 @@
     shares_.correct(run->tenant, toSeconds(now - run->begun_at) * 1000 - run->share.work);
     run->share = request::Turn{};
   }
-  if (end == RunEnd::kWhole) run_times_.noteWhole(run->events);
+  if (end == RunEnd::kWhole) run_times_.noteCompletedItem(run->events);
   runs_.erase(run->number);
   run->running = false;
   finishRun(run, end, cause);
@@ -281,7 +281,7 @@
       run->not_before = now + kRetryAfterDecline;
       break;
     case RunEnd::kYielded:
-      ++counters_.yielded;
+      ++counters_.preempted;
       run->not_before = now + kRetryAfterYield;
       break;
     case RunEnd::kBroken:
--- a/src/process/store/job_executor_trough.cpp
+++ b/src/process/store/job_executor_trough.cpp
@@ -39,8 +39,8 @@
   }
 }
 
-void JobExecutor::noteOthers(Instant now, const std::vector<request::EngineShare>& others) {
-  selector_.noteOthers(now, others);
+void JobExecutor::notePeerLoads(Instant now, const std::vector<request::EngineShare>& others) {
+  selector_.notePeerLoads(now, others);
   if (!plansTrough()) return;
   trough_noted_at_ = now;
   for (const ServiceId& service : batch_services_) trough_.noteLoad(now, service, selector_.zoneLoads(now, service));
@@ -49,7 +49,7 @@
 std::optional<request::RunInFlight> JobExecutor::flightOf(const ItemRun& run) const {
   const EngineRecord* engine = selector_.recordOf(run.engine);
   if (engine == nullptr) return std::nullopt;
-  return request::RunInFlight{engine->service, engine->zone, run_times_.timeLeft(run.events)};
+  return request::RunInFlight{engine->service, engine->zone, run_times_.remainingTime(run.events)};
 }
 
 void JobExecutor::planTrough(Instant now) {
@@ -67,7 +67,7 @@
     waiting.push_back({run->service, run->order});
     items.push_back(run);
   }
-  const std::vector<double> pressing = trough_.plan(now, runs, waiting, run_times_.wholeTime());
+  const std::vector<double> pressing = trough_.plan(now, runs, waiting, run_times_.totalRunTime());
   for (std::size_t i = 0; i < items.size(); ++i) items[i]->pressing = pressing[i];
 }
 
@@ -76,7 +76,7 @@
   next_order_ = now + kOrderInterval;
   for (const ItemPtr& run : queue_) run->order = dueItemOf(*run);
   std::stable_sort(queue_.begin(), queue_.end(), [now](const ItemPtr& left, const ItemPtr& right) {
-    return request::goesBefore(now, left->order, right->order);
+    return request::precedes(now, left->order, right->order);
   });
   if (sharesFairly()) orderByShare(now);
 }
@@ -86,15 +86,15 @@
   std::map<TenantId, double> work_before;
   for (const ItemPtr& run : queue_) {
     run->turn = 0;
-    if (request::isHopeless(now, run->order) || !trough_.isShort(run->service)) continue;
+    if (request::cannotFinishInTime(now, run->order) || !trough_.isRoomShort(run->service)) continue;
     const double work = toSeconds(run->order.time_left) * 1000;
     double& before = work_before[run->tenant];
     run->turn = shares_.startAfter(now, run->tenant, before, work);
     before += work;
   }
   std::stable_sort(queue_.begin(), queue_.end(), [now](const ItemPtr& left, const ItemPtr& right) {
-    const bool left_hopeless = request::isHopeless(now, left->order);
-    const bool right_hopeless = request::isHopeless(now, right->order);
+    const bool left_hopeless = request::cannotFinishInTime(now, left->order);
+    const bool right_hopeless = request::cannotFinishInTime(now, right->order);
     if (left_hopeless != right_hopeless) return right_hopeless;
     return left->turn < right->turn;
   });
@@ -105,9 +105,9 @@
   // Old news hold nothing back, and the most pressing items take what is free now, wherever that is.
   const bool is_old = now > trough_noted_at_ + kLoadsKnownFor;
   // What is late already has no slack to wait with, and would be left lying where no room lasts.
-  const bool is_late = request::isHopeless(now, run.order);
+  const bool is_late = request::cannotFinishInTime(now, run.order);
   if (!is_planned || is_old || is_late || run.pressing >= 1) return true;
-  verdict = trough_.judge(query.service, run_times_.timeLeft(run.events), run.pressing, query.zones);
+  verdict = trough_.judge(query.service, run_times_.remainingTime(run.events), run.pressing, query.zones);
   if (!verdict.begins) {
     logWaiting(now, run, query, verdict);
     return false;
@@ -146,13 +146,13 @@
 }
 
 JobExecutor::ItemPtr JobExecutor::runToYield(Instant now, const std::vector<ItemPtr>& runs, Duration needed_within) {
-  std::vector<request::YieldCandidate> candidates;
+  std::vector<request::PreemptionCandidate> candidates;
   for (const ItemPtr& run : runs) {
     run->order = dueItemOf(*run);
     candidates.push_back({run->events, run->last_event.has_value(), run->order});
   }
   if (options_.load.batch_by_slack) {
-    const auto chosen = request::chooseYield(now, candidates, needed_within, run_times_.wholeTime());
+    const auto chosen = request::choosePreemption(now, candidates, needed_within, run_times_.totalRunTime());
     return chosen ? runs[*chosen] : nullptr;
   }
   ItemPtr chosen;
@@ -160,7 +160,7 @@
     // A run without an event would begin anew.
     const bool loses_less = chosen && run->last_event.has_value() != chosen->last_event.has_value()
                                 ? run->last_event.has_value()
-                                : chosen && request::goesBefore(now, chosen->order, run->order);
+                                : chosen && request::precedes(now, chosen->order, run->order);
     if (!chosen || loses_less) chosen = run;
   }
   return chosen;
@@ -201,7 +201,7 @@
   endRun(run, RunEnd::kYielded, request::EngineVerdict::kNeutral, cause);
 }
 
-void JobExecutor::giveWay(const EngineId& engine) {
+void JobExecutor::preemptAt(const EngineId& engine) {
   if (!leading_) return;
   const Instant now = connection::monotonicNow();
   std::vector<ItemPtr> runs;
--- a/src/process/store/placement_service.hpp
+++ b/src/process/store/placement_service.hpp
@@ -12,9 +12,9 @@
 #include "process/fleet/placement_messages.hpp"
 #include "process/metrics/metrics_page.hpp"
 #include "request/admission/load_features.hpp"
-#include "request/admission/zone_line.hpp"
+#include "request/admission/zone_queue.hpp"
 #include "request/exchange/engine_selector.hpp"
-#include "request/exchange/load_board.hpp"
+#include "request/exchange/load_table.hpp"
 #include "version/engine_record.hpp"
 
 namespace hatchfork::store {
@@ -61,7 +61,7 @@
   void setEvacuated(Instant now, const std::set<ZoneId>& zones) { selector_.setEvacuated(now, zones); }
   void setServices(const std::map<ServiceId, RoutedService>& services) { selector_.setServices(services); }
   /// What processes have in flight whose requests are not placed here.
-  void noteOthers(Instant now, const std::vector<request::EngineShare>& others);
+  void notePeerLoads(Instant now, const std::vector<request::EngineShare>& others);
   /// What batch runs have in flight.
   void noteBackground(const std::vector<request::EngineShare>& background) { selector_.noteBackground(background); }
   /// `connection`: identity of the connection that the gateway is reached by.
@@ -84,7 +84,7 @@
     const void* connection = nullptr;
     Instant heard_at{};
     std::map<std::uint64_t, request::TicketId> tickets;
-    std::map<std::uint64_t, request::LineNumber> standing;
+    std::map<std::uint64_t, request::QueueEntryId> standing;
     /// When it was last told that its requests stand in line.
     Instant told_at{};
   };
@@ -117,12 +117,13 @@
   fleet::PlacementAnswer refusal(Instant now, const fleet::PlacementQuestion& question) const;
   /// Gives places to those who stand in line, and refuses those who can't be in time any more.
   void serveLines(Instant now);
-  bool serveOne(Instant now, request::ZoneLine& line);
-  void refuseLate(Instant now, request::ZoneLine& line);
+  bool serveOne(Instant now, request::ZoneQueue& line);
+  void refuseLate(Instant now, request::ZoneQueue& line);
   /// Takes a request out of the line, if it stands there.
   void leaveLine(Gateway& gateway, std::uint64_t number);
   /// Forgets a request that has left the line, and answers its gateway.
-  void answerStanding(request::LineNumber number, const std::function<fleet::PlacementAnswer(const Waiting&)>& answer);
+  void answerStanding(request::QueueEntryId number,
+                      const std::function<fleet::PlacementAnswer(const Waiting&)>& answer);
 
   GiveWayFunction give_way_;
   AnswerFunction answer_;
@@ -130,9 +131,9 @@
   ZoneId zone_;
   request::EngineSelector selector_;
   std::map<std::string, Gateway> gateways_;
-  std::map<ServiceId, request::ZoneLine> lines_;
-  std::map<request::LineNumber, Waiting> waiting_;
-  request::LineNumber last_line_number_ = 0;
+  std::map<ServiceId, request::ZoneQueue> lines_;
+  std::map<request::QueueEntryId, Waiting> waiting_;
+  request::QueueEntryId last_line_number_ = 0;
   PlacementCounters counters_;
 };
 
--- a/src/process/store/placement_service_line.cpp
+++ b/src/process/store/placement_service_queue.cpp
@@ -8,8 +8,8 @@
 namespace hatchfork::store {
 
 using request::EngineChoice;
-using request::LineNumber;
-using request::ZoneLine;
+using request::QueueEntryId;
+using request::ZoneQueue;
 
 namespace {
 
@@ -26,9 +26,9 @@
 /// Gateways whose requests stand here hear of it this often, so that they don't take this store for silent.
 constexpr Duration kWordInterval = fromMillis(40);
 
-request::Standing standingOf(Instant now, const fleet::PlacementQuestion& question) {
+request::QueuedRequest standingOf(Instant now, const fleet::PlacementQuestion& question) {
   const fleet::PlacementTerms& terms = *question.terms;
-  request::Standing standing;
+  request::QueuedRequest standing;
   standing.priority = terms.priority;
   standing.has_returned = terms.has_returned;
   standing.latest_start = now + fromMillis(terms.left_ms);
@@ -45,14 +45,14 @@
 }
 
 double PlacementService::lineWaitMs(Instant now, const ServiceId& service, std::size_t ahead) const {
-  const double freed = selector_.placesFreedEachMs(now, service, zone_);
+  const double freed = selector_.slotsFreedPerMs(now, service, zone_);
   return freed > 0 ? static_cast<double>(ahead + 1) / freed : 0;
 }
 
 std::optional<EngineChoice> PlacementService::freePlace(Instant now, const fleet::PlacementQuestion& question,
                                                         double wait_ms) {
   request::EngineQuery query = queryOf(question);
-  query.wants_free_place = true;
+  query.needs_free_slot = true;
   const auto choose = [&](double most_detour_ms) {
     std::optional<EngineChoice> choice = selector_.choose(now, query);
     if (choice && choice->detour_ms > most_detour_ms) choice.reset();
@@ -71,7 +71,7 @@
 }
 
 bool PlacementService::hasFastQueues(const fleet::PlacementQuestion& question) const {
-  const std::optional<double> freed_every_ms = selector_.placeFreedEveryMs(question.service);
+  const std::optional<double> freed_every_ms = selector_.slotFreedIntervalMs(question.service);
   return freed_every_ms && *freed_every_ms < kFastQueueShare * static_cast<double>(question.terms->left_ms);
 }
 
@@ -87,8 +87,8 @@
 fleet::PlacementAnswer PlacementService::placeOrLine(Instant now, Gateway& gateway,
                                                      const fleet::PlacementQuestion& question) {
   leaveLine(gateway, question.number);
-  ZoneLine& line = lines_[question.service];
-  const request::Standing standing = standingOf(now, question);
+  ZoneQueue& line = lines_[question.service];
+  const request::QueuedRequest standing = standingOf(now, question);
   const std::size_t ahead = line.ahead(standing);
   const double wait_ms = lineWaitMs(now, question.service, ahead);
   if (ahead == 0) {
@@ -99,7 +99,7 @@
     ++counters_.refused;
     return refusal(now, question);
   }
-  const LineNumber number = ++last_line_number_;
+  const QueueEntryId number = ++last_line_number_;
   if (selector_.engineCount(question.service) == 0 || !line.enter(now, number, standing)) {
     return placeAnywhere(now, question);
   }
@@ -121,9 +121,9 @@
   }
 }
 
-bool PlacementService::serveOne(Instant now, ZoneLine& line) {
+bool PlacementService::serveOne(Instant now, ZoneQueue& line) {
   std::size_t ahead = 0;
-  for (const LineNumber number : line.first(kOfferedAtOnce)) {
+  for (const QueueEntryId number : line.first(kOfferedAtOnce)) {
     const fleet::PlacementQuestion& question = waiting_.at(number).question;
     const Duration waited = line.waited(now, number);
     const double waited_ms = toSeconds(waited) * 1000;
@@ -139,10 +139,10 @@
   return false;
 }
 
-void PlacementService::refuseLate(Instant now, ZoneLine& line) {
+void PlacementService::refuseLate(Instant now, ZoneQueue& line) {
   const std::size_t before = line.size();
-  std::map<LineNumber, bool> may_be_refused;
-  for (const LineNumber number : line.late(now)) may_be_refused[number] = line.at(number).may_be_refused;
+  std::map<QueueEntryId, bool> may_be_refused;
+  for (const QueueEntryId number : line.late(now)) may_be_refused[number] = line.at(number).may_be_refused;
   for (const auto& [number, refused] : may_be_refused) {
     counters_.line_wait.observe(line.waited(now, number));
     line.leave(number);
@@ -156,7 +156,7 @@
            {{"requests", may_be_refused.size()}, {"standing_before", before}, {"zone", zone_.value}});
 }
 
-void PlacementService::answerStanding(LineNumber number,
+void PlacementService::answerStanding(QueueEntryId number,
                                       const std::function<fleet::PlacementAnswer(const Waiting&)>& answer) {
   const auto found = waiting_.find(number);
   const Waiting waiting = std::move(found->second);
@@ -185,7 +185,7 @@
     const auto& [number, in_line] = *gateway.standing.begin();
     fleet::PlacementAnswer word;
     word.number = number;
-    const ZoneLine& line = lines_.at(waiting_.at(in_line).question.service);
+    const ZoneQueue& line = lines_.at(waiting_.at(in_line).question.service);
     word.position = static_cast<std::int64_t>(line.aheadOf(in_line));
     answer_(gateway.connection, word);
   }
--- a/src/process/store/run_board.hpp
+++ b/src/process/store/run_table.hpp
@@ -13,7 +13,7 @@
 
 namespace hatchfork::store {
 
-struct RunBoardLimits {
+struct RunTableLimits {
   /// While there are fewer runs than this in all, the leader keeps them to itself: one process is woken, not many.
   std::size_t local_runs = 40;
   /// A store in the engine's zone is preferred while it has no more than this many times the mean, and these more.
@@ -55,9 +55,9 @@
 /// clock. Belongs to one thread.
 ///
 /// Invariant: news of a run are passed on in their order without a gap, or the run counts as lost.
-class RunBoard {
+class RunTable {
  public:
-  RunBoard(ReplicaId self, RunBoardLimits limits) : self_(std::move(self)), limits_(limits) {}
+  RunTable(ReplicaId self, RunTableLimits limits) : self_(std::move(self)), limits_(limits) {}
 
   /// A leadership begins: nothing is in flight as far as it knows. Numbers of runs differ from all earlier ones.
   void startTerm(Instant now, std::uint64_t term);
@@ -112,7 +112,7 @@
   std::optional<ReplicaId> fewestRuns(Instant now, const ZoneId* zone, std::size_t limit) const;
 
   ReplicaId self_;
-  RunBoardLimits limits_;
+  RunTableLimits limits_;
   std::map<ReplicaId, ZoneId> runners_;
   std::map<std::uint64_t, Run> runs_;
   std::map<ReplicaId, Runner> at_;
--- a/src/process/store/store_program.cpp
+++ b/src/process/store/store_program.cpp
@@ -77,8 +77,8 @@
   executor_options.regions = settings_.zones;
   executor_options.seed = std::random_device()();
   executor_options.load = settings_.load;
-  executor_options.most_running =
-      std::min<std::size_t>(executor_options.most_running, settings_.memory_mb * kRunsPerMegabyte);
+  executor_options.max_running =
+      std::min<std::size_t>(executor_options.max_running, settings_.memory_mb * kRunsPerMegabyte);
   auto propose_command = [this](JobCommand command, std::function<void(bool)> done) {
     group_->propose(encodeTagged(command), kProposalTimeout, [done = std::move(done)](const ProposalOutcome& outcome) {
       done(outcome.result == ProposalResult::kApplied);
@@ -181,7 +181,7 @@
   group_->setRetiring(std::set<ReplicaId>(view.retiring.begin(), view.retiring.end()));
   if (!view.store_group.members.empty()) group_->formWith(view.store_group);
   aggregator_.setStores(view.stores);
-  crash_relay_.setHubs(aggregator_.peers());
+  crash_relay_.setAggregators(aggregator_.peers());
   own_load_.setStores(view.stores);
   updateRateLimits(view);
   placement_.setEvacuated(now, view.evacuated.zones);
@@ -217,7 +217,7 @@
   } else if (const auto* background = std::get_if<fleet::BackgroundLoadFrame>(&decoded)) {
     onBackground(*background);
   } else if (const auto* wanted = std::get_if<fleet::GiveWayFrame>(&decoded)) {
-    executor_->giveWay(wanted->engine);
+    executor_->preemptAt(wanted->engine);
   } else if (const auto* placement = std::get_if<fleet::PlacementQuestion>(&decoded)) {
     if (placement->terms) placement_links_[from.get()] = from;
     from->send(encodeTagged(FleetMessage(placement_.take(monotonicNow(), *placement, from.get()))));
@@ -271,20 +271,20 @@
   items("completed", counters.completed);
   items("errored", counters.errored);
   items("broken", counters.broken);
-  items("yielded", counters.yielded);
+  items("yielded", counters.preempted);
   page.counter("hatchfork_item_failures_kept_total", "Failed runs counted for their items, at the leader.",
-               static_cast<double>(counters.failures_kept));
+               static_cast<double>(counters.failures_stored));
   page.gauge("hatchfork_item_answers_unkept", "Answers against items heard here that no leader is known to have kept.",
-             static_cast<double>(runner_->unkeptAnswers()));
+             static_cast<double>(runner_->unconfirmedAnswers()));
   page.gauge("hatchfork_items_running", "Batch items in flight, at the leader.",
              static_cast<double>(executor_->running()));
   page.gauge("hatchfork_items_run_here", "Batch items that this store runs.", static_cast<double>(runner_->running()));
   page.gauge("hatchfork_items_waiting", "Batch items that wait for a slot.", static_cast<double>(executor_->waiting()));
   for (const ServiceId& service : executor_->batchServices()) {
-    const request::BatchTrough& trough = executor_->trough();
+    const request::TroughScheduler& trough = executor_->trough();
     page.gauge("hatchfork_batch_lasting_places",
                "Places that no expected rise of online requests takes, at the leader.",
-               trough.lastingPlaces(service, executor_->wholeRunTime()), {{"service", service.value}});
+               trough.lastingSlots(service, executor_->estimatedRunTime()), {{"service", service.value}});
     page.gauge("hatchfork_batch_pressing", "How little slack waiting items have, from 0 to 1, at the leader.",
                trough.urgency(service), {{"service", service.value}});
   }
@@ -310,7 +310,7 @@
   fillLineMetrics(page);
   page.gauge("hatchfork_rate_limit_buckets", "Tenants whose rate limits this store has kept lately.",
              static_cast<double>(rate_limits_.buckets()));
-  const request::ReturnCounters returns = rate_limits_.returns();
+  const request::RetryCounters returns = rate_limits_.returns();
   const auto kept = [&page](const char* outcome, std::uint64_t value) {
     page.counter("hatchfork_return_credits_total", "Callers over a limit, by what was agreed and what became of it.",
                  static_cast<double>(value), {{"outcome", outcome}});
@@ -408,7 +408,7 @@
   measureProgress(now);
   reportOwnLoad(now);
   aggregator_.tick(now);
-  if (placement_.gateways() > 0) placement_.noteOthers(now, aggregator_.notPlacedHere());
+  if (placement_.gateways() > 0) placement_.notePeerLoads(now, aggregator_.notPlacedHere());
   placement_.tick(now);
   links_.dropUnused(now);
   if (now < next_trim_) return;
@@ -427,14 +427,15 @@
   logEvent(LogLevel::kInfo, "planned_stop_started", {{"running", executor_->running()}});
   stopping_ = true;
   updateLeading();
-  runner_->handBack();
+  runner_->abortAll();
   group_->transferLeadership();
   const Instant give_up = monotonicNow() + kLeadershipHandOverTime;
   while (group_->isConfirmedLeader() && monotonicNow() < give_up) co_await connection::sleepFor(fromMillis(20));
   // Answers that the new leader's first entries release still go out.
   co_await connection::sleepFor(fromMillis(100));
   const Instant answers_until = monotonicNow() + kAnswerHandOverTime;
-  while (runner_->unkeptAnswers() > 0 && monotonicNow() < answers_until) co_await connection::sleepFor(fromMillis(20));
+  while (runner_->unconfirmedAnswers() > 0 && monotonicNow() < answers_until)
+    co_await connection::sleepFor(fromMillis(20));
   context_.stop();
 }
 
--- a/src/process/store/store_program_loads.cpp
+++ b/src/process/store/store_program_loads.cpp
@@ -30,7 +30,7 @@
 
 void StoreProgram::onDigest(const fleet::LoadDigestFrame& digest) {
   const Instant now = monotonicNow();
-  if (const auto others = own_load_.take(now, digest)) executor_->noteOthers(now, *others);
+  if (const auto others = own_load_.take(now, digest)) executor_->notePeerLoads(now, *others);
 }
 
 void StoreProgram::tellBackground(const std::vector<request::EngineShare>& shares) {
@@ -51,7 +51,7 @@
 void StoreProgram::askToGiveWay(const EngineId& engine) {
   if (background_from_.empty()) return;
   if (background_from_ == settings_.self()) {
-    executor_->giveWay(engine);
+    executor_->preemptAt(engine);
   } else {
     links_.send(background_from_, fleet::GiveWayFrame{engine});
   }
--- a/src/process/store/kept_crashes.hpp
+++ b/src/process/store/stored_crashes.hpp
@@ -13,30 +13,30 @@
 namespace hatchfork::store {
 
 /// An engine ended under a request that is refused for that. The time is the wall clock's, since it outlives processes.
-struct KeptCrash {
+struct StoredCrash {
   request::RequestFingerprint content;
   EngineId engine;
   WallMillis ended_at = 0;
   /// How long the request had been at the engine.
   std::int64_t ran_ms = 0;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(KeptCrash, content, engine, ended_at, ran_ms)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(StoredCrash, content, engine, ended_at, ran_ms)
 
 /// Keeps crashes, so that they are known after all processes have ended at once.
-struct KeepCrashes {
+struct SaveCrashes {
   static constexpr std::string_view kKind = "crashes";
-  std::vector<KeptCrash> crashes;
+  std::vector<StoredCrash> crashes;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(KeepCrashes, crashes)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(SaveCrashes, crashes)
 
 /// The crashes that a group keeps: bounded, equal at all replicas. What is too old to matter gives way, and beyond the
 /// bound the requests whose last crash is the oldest.
-class KeptCrashes {
+class StoredCrashes {
  public:
   /// True if one of them was not kept.
-  bool add(const std::vector<KeptCrash>& crashes);
+  bool add(const std::vector<StoredCrash>& crashes);
   bool contains(const request::RequestFingerprint& content, const EngineId& engine) const;
-  std::vector<KeptCrash> all() const;
+  std::vector<StoredCrash> all() const;
   std::size_t requests() const { return crashes_.size(); }
   /// Changes whenever something is added.
   std::uint64_t version() const { return version_; }
--- a/src/request/admission/byte_budget.cpp
+++ b/src/request/admission/byte_budget.cpp
@@ -17,20 +17,20 @@
 
 }  // namespace
 
-HeldId ByteBudget::hold(std::size_t bytes) {
-  const HeldId held = ++last_id_;
+BufferId ByteBudget::hold(std::size_t bytes) {
+  const BufferId held = ++last_id_;
   held_.emplace(held, Held{bytes, std::nullopt});
   bytes_ += bytes;
   return held;
 }
 
-HeldId ByteBudget::beginCollecting() {
-  const HeldId held = hold(0);
+BufferId ByteBudget::beginCollecting() {
+  const BufferId held = hold(0);
   collecting_.insert(held);
   return held;
 }
 
-void ByteBudget::add(HeldId held, std::size_t bytes) {
+void ByteBudget::add(BufferId held, std::size_t bytes) {
   const auto found = held_.find(held);
   if (found == held_.end()) return;
   found->second.bytes += bytes;
@@ -38,7 +38,7 @@
   if (found->second.waits_since) offered_bytes_ += bytes;
 }
 
-void ByteBudget::offer(Instant now, HeldId held) {
+void ByteBudget::offer(Instant now, BufferId held) {
   const auto found = held_.find(held);
   if (found == held_.end()) return;
   if (!found->second.waits_since) offered_bytes_ += found->second.bytes;
@@ -46,7 +46,7 @@
   collecting_.erase(held);
 }
 
-void ByteBudget::noteTaken(Instant now, HeldId held, std::size_t bytes) {
+void ByteBudget::noteTaken(Instant now, BufferId held, std::size_t bytes) {
   const auto found = held_.find(held);
   if (found == held_.end() || bytes == 0 || !found->second.waits_since) return;
   const std::size_t taken = std::min(bytes, found->second.bytes);
@@ -56,7 +56,7 @@
   offered_bytes_ -= taken;
 }
 
-void ByteBudget::release(HeldId held) {
+void ByteBudget::release(BufferId held) {
   const auto found = held_.find(held);
   if (found == held_.end()) return;
   bytes_ -= found->second.bytes;
@@ -69,7 +69,7 @@
   return bytes_ < shareOf(limits_.most_bytes, kFullShare);
 }
 
-bool ByteBudget::mayGrow(HeldId held) const {
+bool ByteBudget::mayGrow(BufferId held) const {
   if (hasRoom()) return true;
   const bool is_oldest = !collecting_.empty() && *collecting_.begin() == held;
   return is_oldest && offered_bytes_ < shareOf(limits_.most_bytes, kOfferedShare);
@@ -86,8 +86,8 @@
   std::size_t left = bytes_;
   for (const SlowPeer& peer : waiting) {
     Duration patience = limits_.patience;
-    if (left > shareOf(limits_.most_bytes, kPressureShare)) patience = limits_.patience_under_pressure;
-    if (left > limits_.most_bytes) patience = limits_.least_patience;
+    if (left > shareOf(limits_.most_bytes, kPressureShare)) patience = limits_.silence_limit_under_pressure;
+    if (left > limits_.most_bytes) patience = limits_.min_silence_limit;
     if (peer.silent_for < patience) continue;
     slow.push_back(peer);
     left -= peer.bytes;
--- a/src/request/admission/byte_budget.hpp
+++ b/src/request/admission/byte_budget.hpp
@@ -12,7 +12,7 @@
 namespace hatchfork::request {
 
 /// Names bytes that are held for one peer.
-using HeldId = std::uint64_t;
+using BufferId = std::uint64_t;
 
 struct ByteBudgetLimits {
   /// Bytes held for all peers together.
@@ -21,14 +21,14 @@
   Duration patience = std::chrono::seconds(10);
   /// And after this long while more than half of the bound is held: longer than a link that loses packets needs to go
   /// on, shorter than it takes others to fill the rest.
-  Duration patience_under_pressure = std::chrono::seconds(2);
+  Duration silence_limit_under_pressure = std::chrono::seconds(2);
   /// At the bound itself, who waits less than this is no slow reader: its bytes are on their way.
-  Duration least_patience = fromMillis(500);
+  Duration min_silence_limit = fromMillis(500);
 };
 
 /// A peer that is to be let go.
 struct SlowPeer {
-  HeldId held = 0;
+  BufferId held = 0;
   std::size_t bytes = 0;
   /// Since it last took a byte.
   Duration silent_for{};
@@ -43,21 +43,21 @@
   explicit ByteBudget(ByteBudgetLimits limits) : limits_(limits) {}
 
   /// Bytes that are kept: nobody is waited for yet.
-  HeldId hold(std::size_t bytes);
+  BufferId hold(std::size_t bytes);
   /// Bytes that are about to be collected, and then offered.
-  HeldId beginCollecting();
-  void add(HeldId held, std::size_t bytes);
+  BufferId beginCollecting();
+  void add(BufferId held, std::size_t bytes);
   /// From now on the peer is waited for: it has been offered all that is held.
-  void offer(Instant now, HeldId held);
+  void offer(Instant now, BufferId held);
   /// The peer took some of them.
-  void noteTaken(Instant now, HeldId held, std::size_t bytes);
-  void release(HeldId held);
+  void noteTaken(Instant now, BufferId held, std::size_t bytes);
+  void release(BufferId held);
 
   /// False while new work that holds much should wait: from three quarters of the bound on.
   bool hasRoom() const;
   /// True if more may be collected for it: there is room, or it is the oldest of those that collect while peers are
   /// offered little, so that those who collect never all wait for each other.
-  bool mayGrow(HeldId held) const;
+  bool mayGrow(BufferId held) const;
   /// Who is to be let go now, the greediest first. Their bytes count until they are released.
   std::vector<SlowPeer> slowPeers(Instant now) const;
 
@@ -73,13 +73,13 @@
   };
 
   ByteBudgetLimits limits_;
-  std::map<HeldId, Held> held_;
+  std::map<BufferId, Held> held_;
   /// Those that collect; the first one is the oldest.
-  std::set<HeldId> collecting_;
+  std::set<BufferId> collecting_;
   std::size_t bytes_ = 0;
   /// Of these, what waits for peers.
   std::size_t offered_bytes_ = 0;
-  HeldId last_id_ = 0;
+  BufferId last_id_ = 0;
 };
 
 }  // namespace hatchfork::request
--- a/src/request/admission/credit_ask.cpp
+++ b/src/request/admission/credit_request.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/credit_ask.hpp"
+#include "request/admission/credit_request.hpp"
 
 #include <xxhash.h>
 
@@ -18,15 +18,15 @@
 
 }  // namespace
 
-CreditAsk askOf(Duration objective, Duration left, Duration caller_left) {
-  CreditAsk ask;
-  ask.at_all = std::max(Duration::zero(), left / kLeftParts);
-  ask.in_time = std::min(objective / kObjectiveParts, ask.at_all);
+CreditRequestEntry creditRequestFor(Duration objective, Duration left, Duration caller_left) {
+  CreditRequestEntry ask;
+  ask.max_useful_wait = std::max(Duration::zero(), left / kLeftParts);
+  ask.max_timely_wait = std::min(objective / kObjectiveParts, ask.max_useful_wait);
   ask.away = std::max(Duration::zero(), caller_left / kAwayParts - kAwayMargin);
   return ask;
 }
 
-std::uint64_t contentNumber(const RequestContent& content) {
+std::uint64_t contentHash(const RequestContent& content) {
   std::uint64_t number = 0;
   for (const std::string_view part : {content.caller, content.method, content.host, content.target, content.body}) {
     number = XXH3_64bits_withSeed(part.data(), part.size(), number + part.size());
--- a/src/request/admission/credit_ask.hpp
+++ b/src/request/admission/credit_request.hpp
@@ -12,11 +12,11 @@
 
 /// How long a request can wait here or its caller be sent away: `objective` is its route's, `left` what remains until
 /// it is given up here, `caller_left` until its caller gives it up.
-CreditAsk askOf(Duration objective, Duration left, Duration caller_left);
+CreditRequestEntry creditRequestFor(Duration objective, Duration left, Duration caller_left);
 
 /// Names the content of a request by 64 bits, equal for each try of one caller with the same content at whatever
 /// gateway. Who sends what bears the same number as another request gets the place that was kept for that one, within
 /// its own tenant's limit alone.
-std::uint64_t contentNumber(const RequestContent& content);
+std::uint64_t contentHash(const RequestContent& content);
 
 }  // namespace hatchfork::request
--- a/src/request/admission/engine_pace.hpp
+++ b/src/request/admission/engine_speed.hpp
@@ -8,7 +8,7 @@
 /// for all, half of the requests wait at slow engines while fast ones are idle.
 namespace hatchfork::request {
 
-struct EnginePaceLimits {
+struct EngineSpeedLimits {
   /// The service's mean counts for so many observations against an engine's own.
   double prior_observations = 3;
   /// Weights of a new observation at the least: of one engine, of a whole service.
@@ -51,14 +51,14 @@
 };
 
 /// What is usual at the engines of a service. No I/O, no clock.
-class ServicePace {
+class ServiceSpeed {
  public:
-  /// An engine of the service told its pace: they are uneven.
-  void noteTold() { is_uneven_ = true; }
-  void note(const AnswerTiming& timing, const EnginePaceLimits& limits);
+  /// An engine of the service reported its pace: they are uneven.
+  void noteReported() { is_uneven_ = true; }
+  void note(const AnswerTiming& timing, const EngineSpeedLimits& limits);
   /// `reading_ms`: what reading the prompt takes of the time to the first byte at the engine, at which it had a place
   /// at once.
-  void noteFirst(double first_ms, double reading_ms, const EnginePaceLimits& limits);
+  void noteFirst(double first_ms, double reading_ms, const EngineSpeedLimits& limits);
 
   /// True if engines of the service tell their pace, so that they are not to be taken as equal.
   bool isUneven() const { return is_uneven_; }
@@ -73,26 +73,27 @@
   LearnedMean first_ms_;
 };
 
-/// How fast one life of an engine works, learned from answers and as it told. A new life begins a new one. No I/O, no
-/// clock.
-class EnginePace {
+/// How fast one life of an engine works, learned from answers and as it reported. A new life begins a new one. No I/O,
+/// no clock.
+class EngineSpeed {
  public:
-  void note(const AnswerTiming& timing, const ServicePace& service, const EnginePaceLimits& limits);
+  void note(const AnswerTiming& timing, const ServiceSpeed& service, const EngineSpeedLimits& limits);
   /// `factor`: how long work takes at this moment against what is usual there.
-  void noteTold(Instant now, double factor, const EnginePaceLimits& limits);
+  void noteReported(Instant now, double factor, const EngineSpeedLimits& limits);
 
   /// How long a step takes here against the mean engine of the service: below one for fast engines.
-  double learned(const ServicePace& service, const EnginePaceLimits& limits) const;
-  /// The told factor, decayed to one by its age.
-  double told(Instant now, const EnginePaceLimits& limits) const;
+  double learned(const ServiceSpeed& service, const EngineSpeedLimits& limits) const;
+  /// The reported factor, decayed to one by its age.
+  double reported(Instant now, const EngineSpeedLimits& limits) const;
   /// Both together.
-  double slowness(Instant now, const ServicePace& service, const EnginePaceLimits& limits) const {
-    return learned(service, limits) * told(now, limits);
+  double slowness(Instant now, const ServiceSpeed& service, const EngineSpeedLimits& limits) const {
+    return learned(service, limits) * reported(now, limits);
   }
-  /// Negative where it told nothing.
-  std::int64_t toldAgeMs(Instant now) const { return told_at_ == Instant::min() ? -1 : toMillis(now - told_at_); }
+  /// Negative where it reported nothing.
+  std::int64_t reportedAgeMs(Instant now) const { return told_at_ == Instant::min() ? -1 : toMillis(now - told_at_); }
   /// Places of the engine, counted in places of the mean one.
-  double effectivePlaces(Instant now, double places, const ServicePace& service, const EnginePaceLimits& limits) const {
+  double effectivePlaces(Instant now, double places, const ServiceSpeed& service,
+                         const EngineSpeedLimits& limits) const {
     return places / slowness(now, service, limits);
   }
 
--- a/src/request/admission/load_wave.cpp
+++ b/src/request/admission/load_forecaster.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/load_wave.hpp"
+#include "request/admission/load_forecaster.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -25,24 +25,24 @@
   return *std::max_element(most.begin(), most.begin() + static_cast<std::ptrdiff_t>(spansWithin(ahead)));
 }
 
-std::size_t LoadWave::binsIn(Duration duration) const {
+std::size_t LoadForecaster::binsIn(Duration duration) const {
   return static_cast<std::size_t>((duration + limits_.bin - Duration(1)) / limits_.bin);
 }
 
-double LoadWave::peak() const {
+double LoadForecaster::peak() const {
   return bins_.empty() ? 0 : *std::max_element(bins_.begin(), bins_.end());
 }
 
-std::optional<Duration> LoadWave::period() const {
+std::optional<Duration> LoadForecaster::period() const {
   if (!isTrusted()) return std::nullopt;
   return limits_.bin * static_cast<Duration::rep>(period_bins_);
 }
 
-bool LoadWave::isTrusted() const {
+bool LoadForecaster::isTrusted() const {
   return period_bins_ > 0 && distrusted_bins_ == 0;
 }
 
-void LoadWave::note(Instant now, double in_flight) {
+void LoadForecaster::note(Instant now, double in_flight) {
   const std::int64_t bin = now.time_since_epoch() / limits_.bin;
   if (bin == open_bin_ && !bins_.empty()) {
     bins_.back() = std::max(bins_.back(), in_flight);
@@ -65,7 +65,7 @@
   makeForecast();
 }
 
-void LoadWave::closeBin(double value) {
+void LoadForecaster::closeBin(double value) {
   if (distrusted_bins_ > 0) --distrusted_bins_;
   if (isTrusted() && value > periodicMost(0, 0) + limits_.surprise * swing_) {
     distrusted_bins_ = binsIn(limits_.distrusted_for);
@@ -75,7 +75,7 @@
   noteRises();
 }
 
-void LoadWave::noteRises() {
+void LoadForecaster::noteRises() {
   Rises rises{};
   double least = bins_.back();
   std::size_t back = 0;
@@ -88,7 +88,7 @@
   if (rises_.size() > mostBins()) rises_.pop_front();
 }
 
-double LoadWave::likeness(std::size_t lag) const {
+double LoadForecaster::likeness(std::size_t lag) const {
   const std::size_t count = std::min(bins_.size() - lag, std::max(2 * lag, kFewestCompared));
   const std::size_t first = bins_.size() - lag - count;
   double sum_early = 0;
@@ -112,7 +112,7 @@
   return early <= 0 || late <= 0 ? 0 : both / std::sqrt(early * late);
 }
 
-void LoadWave::findPeriod() {
+void LoadForecaster::findPeriod() {
   period_bins_ = 0;
   const std::size_t shortest = binsIn(limits_.shortest_period);
   if (bins_.size() < 4 * shortest) return;
@@ -134,7 +134,7 @@
   }
 }
 
-double LoadWave::periodicMost(std::size_t from, std::size_t to) const {
+double LoadForecaster::periodicMost(std::size_t from, std::size_t to) const {
   const std::size_t blur = binsIn(limits_.blur);
   double most = 0;
   for (std::size_t period = 1; period <= limits_.periods_used; ++period) {
@@ -149,7 +149,7 @@
   return most;
 }
 
-void LoadWave::makeForecast() {
+void LoadForecaster::makeForecast() {
   const double greatest = peak();
   const bool trusted = isTrusted();
   for (std::size_t span = 0; span < LoadForecast::kSpans; ++span) {
--- a/src/request/admission/load_wave.hpp
+++ b/src/request/admission/load_forecaster.hpp
@@ -9,7 +9,7 @@
 
 namespace hatchfork::request {
 
-struct LoadWaveLimits {
+struct LoadForecasterLimits {
   /// Counts are kept in bins of this length, the greatest of each, for so long.
   Duration bin = fromMillis(100);
   Duration kept_for = std::chrono::seconds(30);
@@ -48,9 +48,9 @@
 /// Learns the recent shape of online load, so that batch work can leave before a wave. Answers a load that comes in
 /// waves of some seconds, and one that has no period: then it may rise again as far as it has risen lately in as much
 /// time, up to the greatest count kept. No I/O, no clock. Belongs to one thread.
-class LoadWave {
+class LoadForecaster {
  public:
-  explicit LoadWave(LoadWaveLimits limits = {}) : limits_(limits) {}
+  explicit LoadForecaster(LoadForecasterLimits limits = {}) : limits_(limits) {}
 
   void note(Instant now, double in_flight);
   double level() const { return bins_.empty() ? 0 : bins_.back(); }
@@ -74,7 +74,7 @@
   void makeForecast();
 
   using Rises = std::array<double, LoadForecast::kSpans>;
-  LoadWaveLimits limits_;
+  LoadForecasterLimits limits_;
   std::deque<double> bins_;
   std::deque<Rises> rises_;
   std::int64_t open_bin_ = -1;
--- a/src/request/admission/hold_budget.cpp
+++ b/src/request/admission/pending_budget.cpp
@@ -1,13 +1,13 @@
-#include "request/admission/hold_budget.hpp"
+#include "request/admission/pending_budget.hpp"
 
 #include <algorithm>
 
 namespace hatchfork::request {
 
-HoldBudget::HoldBudget(std::size_t most_requests, std::size_t most_bytes)
+PendingBudget::PendingBudget(std::size_t most_requests, std::size_t most_bytes)
     : most_requests_(most_requests), most_bytes_(most_bytes) {}
 
-bool HoldBudget::tryEnter(std::size_t bytes) {
+bool PendingBudget::tryEnter(std::size_t bytes) {
   if (requests_ >= most_requests_) return false;
   if (bytes > most_bytes_ - bytes_) return false;
   requests_ += 1;
@@ -15,15 +15,15 @@
   return true;
 }
 
-void HoldBudget::leave(std::size_t bytes) {
+void PendingBudget::leave(std::size_t bytes) {
   requests_ -= std::min<std::size_t>(requests_, 1);
   bytes_ -= std::min(bytes_, bytes);
 }
 
-HeldPlace::HeldPlace(HoldBudget& budget, std::size_t bytes)
+PendingReservation::PendingReservation(PendingBudget& budget, std::size_t bytes)
     : budget_(budget), bytes_(bytes), entered_(budget.tryEnter(bytes)) {}
 
-HeldPlace::~HeldPlace() {
+PendingReservation::~PendingReservation() {
   if (entered_) budget_.leave(bytes_);
 }
 
--- a/src/request/admission/hold_budget.hpp
+++ b/src/request/admission/pending_budget.hpp
@@ -7,9 +7,9 @@
 /// Bounds what a gateway holds of requests that wait, by count and by bytes of their bodies, over all reasons to wait.
 /// Answers the load of a surge or of a start in which more callers wait than the process has memory for: what does not
 /// fit is refused at once.
-class HoldBudget {
+class PendingBudget {
  public:
-  HoldBudget(std::size_t most_requests, std::size_t most_bytes);
+  PendingBudget(std::size_t most_requests, std::size_t most_bytes);
 
   /// Takes room for one request with a body of that size; false, and nothing is taken, if there is none.
   bool tryEnter(std::size_t bytes);
@@ -27,18 +27,18 @@
 };
 
 /// A place in the budget, given back when it goes out of scope. The budget outlives it.
-class HeldPlace {
+class PendingReservation {
  public:
   /// Tries to enter; `entered` tells whether there was room.
-  HeldPlace(HoldBudget& budget, std::size_t bytes);
-  ~HeldPlace();
-  HeldPlace(const HeldPlace&) = delete;
-  HeldPlace& operator=(const HeldPlace&) = delete;
+  PendingReservation(PendingBudget& budget, std::size_t bytes);
+  ~PendingReservation();
+  PendingReservation(const PendingReservation&) = delete;
+  PendingReservation& operator=(const PendingReservation&) = delete;
 
   bool entered() const { return entered_; }
 
  private:
-  HoldBudget& budget_;
+  PendingBudget& budget_;
   std::size_t bytes_;
   bool entered_;
 };
--- a/src/request/admission/yield_choice.cpp
+++ b/src/request/admission/preemption_choice.cpp
@@ -1,21 +1,22 @@
-#include "request/admission/yield_choice.hpp"
+#include "request/admission/preemption_choice.hpp"
 
 namespace hatchfork::request {
 namespace {
 
-bool hasSlack(Instant now, const YieldCandidate& candidate, Duration whole_time, const YieldLimits& limits) {
+bool hasSlack(Instant now, const PreemptionCandidate& candidate, Duration whole_time, const PreemptionLimits& limits) {
   const double left = toSeconds(slackOf(now, candidate.order) - limits.away_for);
   return left >= limits.least_slack_runs * toSeconds(whole_time);
 }
 
 }  // namespace
 
-std::optional<std::size_t> chooseYield(Instant now, const std::vector<YieldCandidate>& candidates,
-                                       Duration needed_within, Duration whole_time, const YieldLimits& limits) {
+std::optional<std::size_t> choosePreemption(Instant now, const std::vector<PreemptionCandidate>& candidates,
+                                            Duration needed_within, Duration whole_time,
+                                            const PreemptionLimits& limits) {
   std::optional<std::size_t> best;
   bool best_has_slack = false;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
-    const YieldCandidate& candidate = candidates[i];
+    const PreemptionCandidate& candidate = candidates[i];
     if (candidate.order.time_left <= needed_within) continue;
     const bool has_slack = hasSlack(now, candidate, whole_time, limits);
     if (!best) {
@@ -23,7 +24,7 @@
       best_has_slack = has_slack;
       continue;
     }
-    const YieldCandidate& other = candidates[*best];
+    const PreemptionCandidate& other = candidates[*best];
     bool goes_first = false;
     if (has_slack != best_has_slack) {
       goes_first = has_slack;
@@ -33,7 +34,7 @@
     } else if (has_slack && candidate.events != other.events) {
       goes_first = candidate.events < other.events;
     } else {
-      goes_first = goesBefore(now, other.order, candidate.order);
+      goes_first = precedes(now, other.order, candidate.order);
     }
     if (!goes_first) continue;
     best = i;
--- a/src/request/admission/yield_choice.hpp
+++ b/src/request/admission/preemption_choice.hpp
@@ -11,7 +11,7 @@
 namespace hatchfork::request {
 
 /// A batch run at an engine whose place an online request needs.
-struct YieldCandidate {
+struct PreemptionCandidate {
   /// Events that its item has made over all its runs.
   std::uint64_t events = 0;
   /// A later run can go on after the last event.
@@ -19,7 +19,7 @@
   DueItem order;
 };
 
-struct YieldLimits {
+struct PreemptionLimits {
   /// An item that gives way begins again this much later at the soonest.
   Duration away_for = fromMillis(200);
   /// An item has slack enough to give way while it has so many whole runs of it left afterwards.
@@ -30,7 +30,8 @@
 /// ends by itself within `needed_within` is cut; of those with slack enough the one with the least done; where none has
 /// slack enough, the one with the most slack. Nothing if each of them ends in time by itself. `whole_time`: of a whole
 /// run.
-std::optional<std::size_t> chooseYield(Instant now, const std::vector<YieldCandidate>& candidates,
-                                       Duration needed_within, Duration whole_time, const YieldLimits& limits = {});
+std::optional<std::size_t> choosePreemption(Instant now, const std::vector<PreemptionCandidate>& candidates,
+                                            Duration needed_within, Duration whole_time,
+                                            const PreemptionLimits& limits = {});
 
 }  // namespace hatchfork::request
--- a/src/request/admission/return_schedule.cpp
+++ b/src/request/admission/retry_schedule.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/return_schedule.hpp"
+#include "request/admission/retry_schedule.hpp"
 
 #include <algorithm>
 
@@ -16,20 +16,20 @@
 
 }  // namespace
 
-ReturnSchedule::ReturnSchedule(ReturnScheduleLimits limits) : limits_(limits), fresh_(limits.demand_memory) {}
+RetrySchedule::RetrySchedule(RetryScheduleLimits limits) : limits_(limits), fresh_(limits.demand_memory) {}
 
-void ReturnSchedule::noteArrivals(Instant now, double arrivals) {
+void RetrySchedule::noteArrivals(Instant now, double arrivals) {
   fresh_.note(now, arrivals);
 }
 
-void ReturnSchedule::forget(Timeline::iterator entry, bool is_promised) {
+void RetrySchedule::forget(Timeline::iterator entry, bool is_promised) {
   const auto [first, last] = known_.equal_range(entry->second);
   const auto known = std::find_if(first, last, [&](const auto& item) { return item.second.place == entry->first; });
   if (known != last) known_.erase(known);
   (is_promised ? promised_ : expected_).erase(entry);
 }
 
-void ReturnSchedule::expire(Instant now) {
+void RetrySchedule::expire(Instant now) {
   while (!promised_.empty() && now > promised_.begin()->first.first + limits_.kept_for) {
     ++counters_.lapsed;
     forget(promised_.begin(), true);
@@ -38,7 +38,7 @@
     forget(expected_.begin(), false);
 }
 
-std::size_t ReturnSchedule::kept(Instant now, double rate, double capacity) {
+std::size_t RetrySchedule::kept(Instant now, double rate, double capacity) {
   expire(now);
   const Instant soon = now + timeOf(kLines, rate);
   std::size_t due = 0;
@@ -52,7 +52,7 @@
   return due;
 }
 
-void ReturnSchedule::remember(Instant due, std::uint64_t content, bool is_promised) {
+void RetrySchedule::remember(Instant due, std::uint64_t content, bool is_promised) {
   Timeline& timeline = is_promised ? promised_ : expected_;
   const Place place{due, ++last_number_};
   timeline.emplace(place, content);
@@ -60,7 +60,7 @@
   if (timeline.size() > limits_.most_expected) forget(timeline.begin(), is_promised);
 }
 
-std::optional<ReturnSchedule::Known> ReturnSchedule::recall(std::uint64_t content) {
+std::optional<RetrySchedule::Known> RetrySchedule::recall(std::uint64_t content) {
   const auto [first, last] = known_.equal_range(content);
   if (first == last) return std::nullopt;
   // Of several with the same content, the one that is due first.
@@ -72,12 +72,12 @@
   return found;
 }
 
-double ReturnSchedule::spare(Instant now, double rate) const {
+double RetrySchedule::spare(Instant now, double rate) const {
   if (now < full_until_) return 0;
   return std::clamp(rate - fresh_.rate(now), 0.0, rate);
 }
 
-std::optional<Instant> ReturnSchedule::nextPlace(Instant now, Instant& line, double rate, Duration longest) {
+std::optional<Instant> RetrySchedule::nextPlace(Instant now, Instant& line, double rate, Duration longest) {
   if (rate <= 0) return std::nullopt;
   const Instant place = std::max(line, now) + timeOf(1, rate);
   if (place > now + longest) return std::nullopt;
@@ -85,7 +85,8 @@
   return place;
 }
 
-CreditReply ReturnSchedule::judge(Instant now, const CreditAsk& ask, double rate, double capacity, double level) {
+CreditDecision RetrySchedule::judge(Instant now, const CreditRequestEntry& ask, double rate, double capacity,
+                                    double level) {
   expire(now);
   const std::optional<Known> known = recall(ask.content);
   if (known && known->is_promised) return judgeKept(now, ask, known->place.first, rate, level);
@@ -103,7 +104,8 @@
   return known ? judgeReturned(now, ask, rate) : judgeFresh(now, ask, rate);
 }
 
-CreditReply ReturnSchedule::judgeKept(Instant now, const CreditAsk& ask, Instant due, double rate, double level) {
+CreditDecision RetrySchedule::judgeKept(Instant now, const CreditRequestEntry& ask, Instant due, double rate,
+                                        double level) {
   const bool is_early = now + timeOf(kLines, rate) < due;
   if (!is_early && level >= 1) {
     ++counters_.used;
@@ -112,26 +114,26 @@
   // Early, or the limit was lowered: its place stays.
   const Instant next = std::max(due, now + timeOf(std::max(0.0, 1 - level), rate));
   remember(next, ask.content, true);
-  const bool waits_here = next <= now + std::max({ask.in_time, ask.at_all, limits_.early});
-  return {ask.content, waits_here ? CreditOutcome::kWait : CreditOutcome::kReturn, next - now};
+  const bool waits_here = next <= now + std::max({ask.max_timely_wait, ask.max_useful_wait, limits_.early});
+  return {ask.content, waits_here ? CreditOutcome::kWait : CreditOutcome::kRetryReserved, next - now};
 }
 
-CreditReply ReturnSchedule::judgeFresh(Instant now, const CreditAsk& ask, double rate) {
+CreditDecision RetrySchedule::judgeFresh(Instant now, const CreditRequestEntry& ask, double rate) {
   const double line_rate = std::max(limits_.floor_part * rate, limits_.spare_part * spare(now, rate));
   if (const auto place = nextPlace(now, away_line_, line_rate, ask.away)) {
     ++counters_.promised;
     remember(*place, ask.content, true);
-    const bool waits_here = *place <= now + ask.in_time;
-    return {ask.content, waits_here ? CreditOutcome::kWait : CreditOutcome::kReturn, *place - now};
+    const bool waits_here = *place <= now + ask.max_timely_wait;
+    return {ask.content, waits_here ? CreditOutcome::kWait : CreditOutcome::kRetryReserved, *place - now};
   }
   ++counters_.unkept;
   remember(now + ask.away, ask.content, false);
-  return {ask.content, CreditOutcome::kReturnUnkept, ask.away};
+  return {ask.content, CreditOutcome::kRetryUnreserved, ask.away};
 }
 
-CreditReply ReturnSchedule::judgeReturned(Instant now, const CreditAsk& ask, double rate) {
+CreditDecision RetrySchedule::judgeReturned(Instant now, const CreditRequestEntry& ask, double rate) {
   const double line_rate = limits_.spare_part * spare(now, rate);
-  if (const auto place = nextPlace(now, late_line_, line_rate, std::max(ask.in_time, ask.at_all))) {
+  if (const auto place = nextPlace(now, late_line_, line_rate, std::max(ask.max_timely_wait, ask.max_useful_wait))) {
     ++counters_.promised;
     remember(*place, ask.content, true);
     return {ask.content, CreditOutcome::kWait, *place - now};
--- a/src/request/admission/return_schedule.hpp
+++ b/src/request/admission/retry_schedule.hpp
@@ -14,7 +14,7 @@
 /// and must not come back into the surge while credits stand unused after it.
 namespace hatchfork::request {
 
-struct ReturnScheduleLimits {
+struct RetryScheduleLimits {
   /// Part of the limit that is promised ahead while fresh requests alone take all of it, so that those who were sent
   /// away are not starved. Small: a fresh request is worth more to its caller than one that was sent away before.
   double floor_part = 0.05;
@@ -33,7 +33,7 @@
   Duration plenty = fromMillis(100);
 };
 
-struct ReturnCounters {
+struct RetryCounters {
   std::uint64_t promised = 0;
   /// Of these, used by the request they were kept for, and fallen to others since it did not come.
   std::uint64_t used = 0;
@@ -49,20 +49,20 @@
 /// the bucket fills between them. No I/O, no clock. Belongs to one thread.
 ///
 /// Cost: a request costs one look-up; what is remembered is bounded by `most_expected`, and by time.
-class ReturnSchedule {
+class RetrySchedule {
  public:
-  explicit ReturnSchedule(ReturnScheduleLimits limits = {});
+  explicit RetrySchedule(RetryScheduleLimits limits = {});
 
   /// Fresh and returned requests that came to gateways.
   void noteArrivals(Instant now, double arrivals);
   /// Credits of the bucket that are kept for those whose time has come. `rate` is the limit, `capacity` the bucket's.
   std::size_t kept(Instant now, double rate, double capacity);
   /// Judges a request where the bucket holds `level` credits. One is to be taken from it if the outcome is `kGranted`.
-  CreditReply judge(Instant now, const CreditAsk& ask, double rate, double capacity, double level);
+  CreditDecision judge(Instant now, const CreditRequestEntry& ask, double rate, double capacity, double level);
   /// Until when fresh requests take the whole limit, as far as is known, nothing but the floor is promised.
   void assumeFullUntil(Instant until) { full_until_ = until; }
 
-  const ReturnCounters& counters() const { return counters_; }
+  const RetryCounters& counters() const { return counters_; }
   std::size_t promised() const { return promised_.size(); }
   std::size_t expected() const { return expected_.size(); }
 
@@ -83,11 +83,11 @@
   double spare(Instant now, double rate) const;
   /// The next time of a line of promises that goes at `rate`, if it comes within `longest`.
   static std::optional<Instant> nextPlace(Instant now, Instant& line, double rate, Duration longest);
-  CreditReply judgeKept(Instant now, const CreditAsk& ask, Instant due, double rate, double level);
-  CreditReply judgeFresh(Instant now, const CreditAsk& ask, double rate);
-  CreditReply judgeReturned(Instant now, const CreditAsk& ask, double rate);
+  CreditDecision judgeKept(Instant now, const CreditRequestEntry& ask, Instant due, double rate, double level);
+  CreditDecision judgeFresh(Instant now, const CreditRequestEntry& ask, double rate);
+  CreditDecision judgeReturned(Instant now, const CreditRequestEntry& ask, double rate);
 
-  ReturnScheduleLimits limits_;
+  RetryScheduleLimits limits_;
   RateMeter fresh_;
   UrgencyOrder order_;
   Instant full_until_{};
@@ -98,7 +98,7 @@
   /// The last promised time of those sent away, and of those that wait for a late answer.
   Instant away_line_{};
   Instant late_line_{};
-  ReturnCounters counters_;
+  RetryCounters counters_;
 };
 
 }  // namespace hatchfork::request
--- a/src/request/admission/start_hold.cpp
+++ b/src/request/admission/startup_admission.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/start_hold.hpp"
+#include "request/admission/startup_admission.hpp"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-StartDecision StartHold::decide(Instant now, const EarlyArrival& arrival) {
+StartupDecision StartupAdmission::decide(Instant now, const EarlyArrival& arrival) {
   Instant until = std::min(arrival.received_at + kLongestHold, started_at_ + kUsualStart);
   if (arrival.remaining) until = std::min(until, arrival.received_at + *arrival.remaining / kHeldPartOfRemaining);
   const Duration come_back_after = comeBackAfter(std::max(now, until));
@@ -26,7 +26,7 @@
   return {until, come_back_after};
 }
 
-Duration StartHold::comeBackAfter(Instant now) {
+Duration StartupAdmission::comeBackAfter(Instant now) {
   std::uniform_int_distribution<Duration::rep> spread(0, kComeBackSpread.count());
   const Duration until_usual = started_at_ + kUsualStart - now;
   return std::max(kShortestComeBack, until_usual) + Duration(spread(random_));
--- a/src/request/admission/start_hold.hpp
+++ b/src/request/admission/startup_admission.hpp
@@ -16,7 +16,7 @@
 };
 
 /// What to do with it. Held until `until`, or refused at once.
-struct StartDecision {
+struct StartupDecision {
   /// Absent: refused.
   std::optional<Instant> until;
   /// Refused, now or at `until`: when the caller is to come back.
@@ -28,11 +28,11 @@
 /// milliseconds before it can serve them, and a refusal sends each away for longer than the rest of the start takes. A
 /// request is held only within what its caller can use, and only while the start may still end soon; later ones are
 /// refused at once. No I/O, no clock.
-class StartHold {
+class StartupAdmission {
  public:
-  StartHold(Instant started_at, std::uint64_t seed) : started_at_(started_at), random_(seed) {}
+  StartupAdmission(Instant started_at, std::uint64_t seed) : started_at_(started_at), random_(seed) {}
 
-  StartDecision decide(Instant now, const EarlyArrival& arrival);
+  StartupDecision decide(Instant now, const EarlyArrival& arrival);
   /// When a caller is to come back that is refused now: after the expected end of the start, not all at once.
   Duration comeBackAfter(Instant now);
 
--- a/src/request/admission/batch_trough.cpp
+++ b/src/request/admission/trough_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/batch_trough.hpp"
+#include "request/admission/trough_scheduler.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void BatchTrough::noteLoad(Instant now, const ServiceId& service, const std::map<ZoneId, ZoneLoad>& zones) {
+void TroughScheduler::noteLoad(Instant now, const ServiceId& service, const std::map<ZoneId, ZoneLoad>& zones) {
   Service& known = services_[service];
   std::erase_if(known.zones, [&zones](const auto& entry) { return !zones.contains(entry.first); });
   for (const auto& [id, load] : zones) {
@@ -21,12 +21,12 @@
   }
 }
 
-void BatchTrough::count(Zone& zone, Duration time_left) {
+void TroughScheduler::count(Zone& zone, Duration time_left) {
   const std::size_t spans = LoadForecast::spansWithin(time_left);
   for (std::size_t span = 0; span < spans; ++span) ++zone.runs[span];
 }
 
-void BatchTrough::noteBegun(const RunInFlight& run) {
+void TroughScheduler::noteBegun(const RunInFlight& run) {
   const auto service = services_.find(run.service);
   if (service == services_.end()) return;
   service->second.under_way += run.time_left;
@@ -36,11 +36,11 @@
 }
 
 /// Counts of requests that come by themselves vary by the root of their mean.
-double BatchTrough::spareFor(double online) const {
+double TroughScheduler::spareFor(double online) const {
   return limits_.spare_deviations * std::sqrt(online);
 }
 
-double BatchTrough::urgencyAt(double slack, Duration whole_time) const {
+double TroughScheduler::urgencyAt(double slack, Duration whole_time) const {
   const double relaxed = toSeconds(whole_time) * limits_.relaxed_runs;
   const double pressing = toSeconds(whole_time) * limits_.pressing_runs;
   if (relaxed <= pressing) return 1;
@@ -48,7 +48,7 @@
 }
 
 /// Until the wave that leaves less places than there are runs, all of them go on; then so many as there are places.
-double BatchTrough::begunWorkDoneIn(const Service& service, double places) {
+double TroughScheduler::begunWorkDoneIn(const Service& service, double places) {
   const double under_way = toSeconds(service.under_way);
   if (service.runs <= places) return under_way / places;
   for (std::size_t span = 0; span < LoadForecast::kSpans; ++span) {
@@ -60,19 +60,19 @@
   return under_way / service.runs;
 }
 
-double BatchTrough::workBeyond(const Service& service, double places) {
+double TroughScheduler::workBeyond(const Service& service, double places) {
   if (service.runs <= places) return 0;
   return (service.runs - places) * toSeconds(service.under_way) / service.runs;
 }
 
-double BatchTrough::placesIn(const Service& service, std::size_t span) {
+double TroughScheduler::placesIn(const Service& service, std::size_t span) {
   double places = 0;
   for (const auto& [id, zone] : service.zones) places += std::max(0.0, zone.slots - zone.wave.forecast().most[span]);
   return places;
 }
 
-std::vector<double> BatchTrough::plan(Instant now, const std::vector<RunInFlight>& runs,
-                                      const std::vector<WaitingItem>& waiting, Duration whole_time) {
+std::vector<double> TroughScheduler::plan(Instant now, const std::vector<RunInFlight>& runs,
+                                          const std::vector<WaitingItem>& waiting, Duration whole_time) {
   for (auto& [id, service] : services_) {
     service.urgency = 0;
     service.least_slack = kNoItem;
@@ -88,14 +88,14 @@
   };
   std::map<ServiceId, Pace> paces;
   for (const auto& [id, service] : services_) {
-    const double places = std::max(1.0, lastingPlaces(id, whole_time));
+    const double places = std::max(1.0, lastingSlots(id, whole_time));
     paces[id] = Pace{places, begunWorkDoneIn(service, places)};
   }
   std::vector<double> urgencies(waiting.size(), 0);
   for (std::size_t i = 0; i < waiting.size(); ++i) {
     const WaitingItem& item = waiting[i];
     const auto service = services_.find(item.service);
-    if (service == services_.end() || isHopeless(now, item.order)) continue;
+    if (service == services_.end() || cannotFinishInTime(now, item.order)) continue;
     Pace& pace = paces.at(item.service);
     const double slack = toSeconds(slackOf(now, item.order)) - pace.begins_in;
     pace.begins_in += toSeconds(item.order.time_left) / pace.places;
@@ -127,7 +127,7 @@
   return urgencies;
 }
 
-double BatchTrough::lastingPlaces(const ServiceId& id, Duration time_left) const {
+double TroughScheduler::lastingSlots(const ServiceId& id, Duration time_left) const {
   const auto service = services_.find(id);
   if (service == services_.end()) return 0;
   double places = 0;
@@ -137,17 +137,17 @@
   return places;
 }
 
-bool BatchTrough::isShort(const ServiceId& id) const {
+bool TroughScheduler::isRoomShort(const ServiceId& id) const {
   const auto service = services_.find(id);
   return service != services_.end() && service->second.least_slack < 0;
 }
 
-double BatchTrough::urgency(const ServiceId& id) const {
+double TroughScheduler::urgency(const ServiceId& id) const {
   const auto service = services_.find(id);
   return service == services_.end() ? 1 : service->second.urgency;
 }
 
-TroughVerdict BatchTrough::judgeZone(const ZoneId& id, const Zone& zone, Duration time_left, double urgency) const {
+TroughVerdict TroughScheduler::judgeZone(const ZoneId& id, const Zone& zone, Duration time_left, double urgency) const {
   TroughVerdict verdict;
   verdict.zone = id;
   verdict.online_now = zone.wave.level();
@@ -166,8 +166,8 @@
   return verdict;
 }
 
-TroughVerdict BatchTrough::judge(const ServiceId& id, Duration time_left, double urgency,
-                                 const std::optional<std::set<ZoneId>>& zones) const {
+TroughVerdict TroughScheduler::judge(const ServiceId& id, Duration time_left, double urgency,
+                                     const std::optional<std::set<ZoneId>>& zones) const {
   TroughVerdict best;
   const auto service = services_.find(id);
   if (service == services_.end()) return best;
--- a/src/request/admission/batch_trough.hpp
+++ b/src/request/admission/trough_scheduler.hpp
@@ -9,7 +9,7 @@
 
 #include "common/ids.hpp"
 #include "common/time.hpp"
-#include "request/admission/load_wave.hpp"
+#include "request/admission/load_forecaster.hpp"
 #include "request/admission/zone_load.hpp"
 #include "request/batch/due_order.hpp"
 
@@ -29,7 +29,7 @@
   DueItem order;
 };
 
-struct BatchTroughLimits {
+struct TroughSchedulerLimits {
   /// Items wait for room that lasts while, at the pace of that room, each of them has slack of more than so many whole
   /// runs; from the second on, they begin wherever a place is free now.
   double relaxed_runs = 1;
@@ -58,9 +58,9 @@
 /// have at the pace that this allows, the less is kept for a wave, down to nothing: then a run begins wherever a place
 /// is free now, as without this. Soft: a new one knows of no wave and holds nothing back. No I/O, no clock. Belongs to
 /// one thread.
-class BatchTrough {
+class TroughScheduler {
  public:
-  explicit BatchTrough(BatchTroughLimits limits = {}) : limits_(limits) {}
+  explicit TroughScheduler(TroughSchedulerLimits limits = {}) : limits_(limits) {}
 
   /// The load of each zone's engines of the service, several times a second.
   void noteLoad(Instant now, const ServiceId& service, const std::map<ZoneId, ZoneLoad>& zones);
@@ -80,14 +80,14 @@
   /// Of its most pressing waiting item.
   double urgency(const ServiceId& service) const;
   /// True if not all waiting items can be in time in room that lasts.
-  bool isShort(const ServiceId& service) const;
+  bool isRoomShort(const ServiceId& service) const;
   /// Runs that can be in flight at once without being cut by the greatest load expected.
-  double lastingPlaces(const ServiceId& service, Duration time_left) const;
+  double lastingSlots(const ServiceId& service, Duration time_left) const;
 
  private:
   struct Zone {
     double slots = 0;
-    LoadWave wave;
+    LoadForecaster wave;
     /// Runs that are expected to be in flight when each span begins.
     std::array<double, LoadForecast::kSpans> runs{};
   };
@@ -112,7 +112,7 @@
   double spareFor(double online) const;
   double urgencyAt(double slack, Duration whole_time) const;
 
-  BatchTroughLimits limits_;
+  TroughSchedulerLimits limits_;
   std::map<ServiceId, Service> services_;
 };
 
--- a/src/request/admission/zone_line.cpp
+++ b/src/request/admission/zone_queue.cpp
@@ -1,11 +1,11 @@
-#include "request/admission/zone_line.hpp"
+#include "request/admission/zone_queue.hpp"
 
 #include <algorithm>
 #include <iterator>
 
 namespace hatchfork::request {
 
-bool ZoneLine::enter(Instant now, LineNumber number, const Standing& standing) {
+bool ZoneQueue::enter(Instant now, QueueEntryId number, const QueuedRequest& standing) {
   if (standing_.size() >= limits_.most_standing || standing_.contains(number)) return false;
   const Place place(standing.has_returned, standing.share, standing.latest_start, ++entered_);
   standing_.emplace(number, Member{standing, place, now});
@@ -14,7 +14,7 @@
   return true;
 }
 
-bool ZoneLine::leave(LineNumber number) {
+bool ZoneQueue::leave(QueueEntryId number) {
   const auto found = standing_.find(number);
   if (found == standing_.end()) return false;
   const Member& member = found->second;
@@ -26,7 +26,7 @@
   return true;
 }
 
-void ZoneLine::noteServed(LineNumber number) {
+void ZoneQueue::noteServed(QueueEntryId number) {
   const auto found = standing_.find(number);
   if (found == standing_.end()) return;
   const bool is_urgent = found->second.standing.priority == classes_.begin()->first;
@@ -35,8 +35,8 @@
   leave(number);
 }
 
-std::vector<LineNumber> ZoneLine::first(std::size_t most) const {
-  std::vector<LineNumber> numbers;
+std::vector<QueueEntryId> ZoneQueue::first(std::size_t most) const {
+  std::vector<QueueEntryId> numbers;
   const bool from_floor = isFloorsTurn();
   if (from_floor && most > 0) numbers.push_back(classes_.rbegin()->second.begin()->second);
   for (const auto& [priority, members] : classes_) {
@@ -49,8 +49,8 @@
   return numbers;
 }
 
-std::vector<LineNumber> ZoneLine::late(Instant now) const {
-  std::vector<LineNumber> numbers;
+std::vector<QueueEntryId> ZoneQueue::late(Instant now) const {
+  std::vector<QueueEntryId> numbers;
   for (const auto& [latest_start, number] : latest_) {
     if (latest_start > now) break;
     numbers.push_back(number);
@@ -58,7 +58,7 @@
   return numbers;
 }
 
-std::size_t ZoneLine::ahead(const Standing& standing) const {
+std::size_t ZoneQueue::ahead(const QueuedRequest& standing) const {
   std::size_t count = 0;
   for (const auto& [priority, members] : classes_) {
     if (priority > standing.priority) break;
@@ -74,7 +74,7 @@
   return count;
 }
 
-std::size_t ZoneLine::aheadOf(LineNumber number) const {
+std::size_t ZoneQueue::aheadOf(QueueEntryId number) const {
   const auto found = standing_.find(number);
   if (found == standing_.end()) return 0;
   std::size_t count = 0;
--- a/src/request/batch/due_order.cpp
+++ b/src/request/batch/due_order.cpp
@@ -15,14 +15,14 @@
   return item.due - now - item.time_left;
 }
 
-bool isHopeless(Instant now, const DueItem& item) {
+bool cannotFinishInTime(Instant now, const DueItem& item) {
   const Duration at_best = std::chrono::duration_cast<Duration>(item.time_left * kShareOfTimeAtBest);
   return item.due - now < at_best;
 }
 
-bool goesBefore(Instant now, const DueItem& left, const DueItem& right) {
-  const bool left_hopeless = isHopeless(now, left);
-  const bool right_hopeless = isHopeless(now, right);
+bool precedes(Instant now, const DueItem& left, const DueItem& right) {
+  const bool left_hopeless = cannotFinishInTime(now, left);
+  const bool right_hopeless = cannotFinishInTime(now, right);
   if (left_hopeless != right_hopeless) return right_hopeless;
   // Without a due time `due` is the largest instant, which nothing can be added to.
   if (left.due == Instant::max() || right.due == Instant::max()) return left.due < right.due;
@@ -30,7 +30,7 @@
 }
 
 double urgencyOf(Instant now, const DueItem& item, Duration whole_time, const UrgencyLimits& limits) {
-  if (isHopeless(now, item)) return 0;
+  if (cannotFinishInTime(now, item)) return 0;
   const double slack = toSeconds(slackOf(now, item));
   const double relaxed = toSeconds(whole_time) * limits.relaxed_runs;
   const double pressing = toSeconds(whole_time) * limits.pressing_runs;
--- a/src/request/batch/due_order.hpp
+++ b/src/request/batch/due_order.hpp
@@ -16,13 +16,13 @@
 Duration slackOf(Instant now, const DueItem& item);
 
 /// True if the item can't be in time even if it takes much less than expected.
-bool isHopeless(Instant now, const DueItem& item);
+bool cannotFinishInTime(Instant now, const DueItem& item);
 
 /// True if `left` goes before `right`: items that can still be in time before those that can't, then by due time and
 /// time left together, the lesser sum first. Of two that are due alike the one that is nearly done goes first: where
 /// not all can be in time, more of them are. Items that can't be in time any more are not given up: they run where
 /// nothing else wants the slot.
-bool goesBefore(Instant now, const DueItem& left, const DueItem& right);
+bool precedes(Instant now, const DueItem& left, const DueItem& right);
 
 struct UrgencyLimits {
   /// An item is relaxed while its slack is above so many times the time of a whole run, and pressing below the lower.
--- a/src/request/batch/lease_demand.cpp
+++ b/src/request/batch/lease_demand.cpp
@@ -22,7 +22,7 @@
   return wanted > load.ready ? std::min(wanted - load.ready, kMostPerRequest) : 0;
 }
 
-bool StrandedItems::update(Instant now, const ServiceBatchLoad& load) {
+bool StrandedItemDetector::update(Instant now, const ServiceBatchLoad& load) {
   if (load.ready == 0 || mayPlace(load)) {
     since_.reset();
     return false;
--- a/src/request/batch/lease_demand.hpp
+++ b/src/request/batch/lease_demand.hpp
@@ -25,7 +25,7 @@
 
 /// Watches for leased items that this gateway can't place: its engines of the service were given to another gateway, or
 /// left. They are to be given back, so that the engines' new owner can run them. One traffic thread.
-class StrandedItems {
+class StrandedItemDetector {
  public:
   /// Call regularly with each service's load; true when its ready items are to be given back now.
   bool update(Instant now, const ServiceBatchLoad& load);
--- a/src/request/batch/lease_pacer.hpp
+++ b/src/request/batch/lease_pacer.hpp
@@ -26,7 +26,7 @@
   /// way.
   bool isDue(Instant now, bool wants_items, bool holds_items) const;
   /// The group has items again: the pause after a request that brought none ends.
-  void askAtOnce() { ask_again_at_ = Instant{}; }
+  void requestImmediately() { ask_again_at_ = Instant{}; }
 
   void recordSent(Instant now, bool wants_items);
   void recordReply(Instant now, bool brought_items);
--- a/src/request/batch/run_time_model.cpp
+++ b/src/request/batch/run_time_model.cpp
@@ -18,11 +18,11 @@
   learn(event_ms_, toSeconds(taken) * 1000 / static_cast<double>(events));
 }
 
-void RunTimeModel::noteWhole(std::uint64_t events) {
+void RunTimeModel::noteCompletedItem(std::uint64_t events) {
   if (events > 0) learn(whole_events_, static_cast<double>(events));
 }
 
-Duration RunTimeModel::timeLeft(std::uint64_t events_made) const {
+Duration RunTimeModel::remainingTime(std::uint64_t events_made) const {
   if (whole_events_ == 0) return guess_;
   const double least = whole_events_ * limits_.least_share_left;
   const double left = std::max(least, whole_events_ - static_cast<double>(events_made));
--- a/src/request/batch/run_time_model.hpp
+++ b/src/request/batch/run_time_model.hpp
@@ -26,15 +26,15 @@
   explicit RunTimeModel(RunTimeModelLimits limits = {}) : limits_(limits) {}
 
   /// What a whole run is taken to last while none was seen.
-  void setGuess(Duration whole_time) { guess_ = whole_time; }
+  void setInitialEstimate(Duration whole_time) { guess_ = whole_time; }
   /// A run has made so many events in so long, from its first one on.
   void notePace(std::uint64_t events, Duration taken);
   /// An item is whole with so many events over all its runs.
-  void noteWhole(std::uint64_t events);
+  void noteCompletedItem(std::uint64_t events);
   /// What an item that has made so many events will still take.
-  Duration timeLeft(std::uint64_t events_made) const;
+  Duration remainingTime(std::uint64_t events_made) const;
   /// What an item takes from its start to its end.
-  Duration wholeTime() const { return timeLeft(0); }
+  Duration totalRunTime() const { return remainingTime(0); }
 
  private:
   void learn(double& mean, double value) const;
--- a/src/request/crash/crash_ledger.cpp
+++ b/src/request/crash/crash_ledger.cpp
@@ -53,7 +53,7 @@
   return true;
 }
 
-bool CrashLedger::noteInnocent(Instant at, const RequestFingerprint& content) {
+bool CrashLedger::noteCompleteAnswer(Instant at, const RequestFingerprint& content) {
   const auto found = entries_.find(content);
   if (found == entries_.end() || at <= found->second.innocent_at) return false;
   Entry& entry = found->second;
@@ -153,7 +153,7 @@
   return records;
 }
 
-std::vector<CrashRecord> CrashLedger::crashesOfConvicted(Instant now) {
+std::vector<CrashRecord> CrashLedger::crashesOfQuarantined(Instant now) {
   if (!std::exchange(is_judged_, true)) judgeAll();
   std::vector<CrashRecord> records;
   for (const auto& [content, entry] : entries_) {
@@ -163,8 +163,8 @@
   return records;
 }
 
-std::vector<InnocenceRecord> CrashLedger::innocents(Instant now, std::size_t most) const {
-  std::vector<InnocenceRecord> records;
+std::vector<CompleteAnswerRecord> CrashLedger::innocents(Instant now, std::size_t most) const {
+  std::vector<CompleteAnswerRecord> records;
   for (const auto& [content, entry] : entries_) {
     if (entry.innocent_at == Instant::min() || records.size() >= most) continue;
     records.push_back({content, toMillis(now - entry.innocent_at)});
--- a/src/request/crash/crash_ledger.hpp
+++ b/src/request/crash/crash_ledger.hpp
@@ -23,7 +23,7 @@
 };
 
 /// A request got a whole answer, so that it did not end that engine.
-struct InnocenceRecord {
+struct CompleteAnswerRecord {
   RequestFingerprint content;
   std::int64_t age_ms = 0;
 };
@@ -69,7 +69,7 @@
   /// `ran`: how long the request had been at the engine. True if this was not known.
   bool noteCrash(Instant at, Duration ran, const RequestFingerprint& content, const EngineId& engine);
   /// A whole answer; true if it clears the request of something.
-  bool noteInnocent(Instant at, const RequestFingerprint& content);
+  bool noteCompleteAnswer(Instant at, const RequestFingerprint& content);
   /// Costs more after a change: all requests are judged again, once.
   CrashVerdict judge(const RequestFingerprint& content);
   /// True while nothing is known of any request, so that none needs to be looked up.
@@ -82,8 +82,8 @@
   /// All records, those of the newest requests first, at most so many.
   std::vector<CrashRecord> crashes(Instant now, std::size_t most) const;
   /// Those of the requests that are refused, or were.
-  std::vector<CrashRecord> crashesOfConvicted(Instant now);
-  std::vector<InnocenceRecord> innocents(Instant now, std::size_t most) const;
+  std::vector<CrashRecord> crashesOfQuarantined(Instant now);
+  std::vector<CompleteAnswerRecord> innocents(Instant now, std::size_t most) const;
   /// Equal for ledgers that hold the same crashes.
   std::uint64_t digest() const;
 
--- a/src/request/exchange/arrival_gate.hpp
+++ b/src/request/exchange/arrival_gate.hpp
@@ -26,9 +26,9 @@
   /// True if the request can still be in time, or nearly so, after the wait that is expected at its engine.
   bool admits(Duration objective, Duration waited, Duration expected_wait) const;
   /// How long a request may still wait before its engine begins with it; zero or less if it will be late anyway.
-  Duration longestWait(Duration objective, Duration waited) const;
+  Duration maxWait(Duration objective, Duration waited) const;
   /// When to come back: once the wait has passed, spread so that callers do not come back as one crowd.
-  Duration comeBackAfter(Duration expected_wait);
+  Duration retryAfter(Duration expected_wait);
 
  private:
   ArrivalGateLimits limits_;
--- a/src/request/exchange/engine_selector.cpp
+++ b/src/request/exchange/engine_selector.cpp
@@ -109,8 +109,8 @@
 
 void EngineSelector::takePace(Instant now, EngineState& state, std::uint32_t pace) {
   if (state.service_pace == nullptr) return;
-  state.service_pace->noteTold();
-  state.pace.noteTold(now, pace / kUsualPace, limits_.pace);
+  state.service_pace->noteReported();
+  state.pace.noteReported(now, pace / kUsualPace, limits_.pace);
 }
 
 void EngineSelector::notePace(Instant now, TicketId ticket, std::uint32_t pace) {
@@ -142,7 +142,7 @@
 }
 
 /// Costs what is loaded: an engine that is not named belongs to an older telling.
-void EngineSelector::noteOthers(Instant now, const std::vector<EngineShare>& others) {
+void EngineSelector::notePeerLoads(Instant now, const std::vector<EngineShare>& others) {
   noteTelling(now);
   ++others_telling_;
   for (auto& [service, pool] : pools_) pool.forgetOthers();
@@ -168,7 +168,7 @@
   }
 }
 
-void EngineSelector::noteGivingWay(const EngineId& engine) {
+void EngineSelector::notePreemption(const EngineId& engine) {
   const auto found = engines_.find(engine);
   if (found != engines_.end() && backgroundAt(found->second) > 0) --found->second.background;
 }
@@ -229,7 +229,7 @@
   return pool == nullptr ? 0 : pool->ofZone(zone).size();
 }
 
-std::optional<double> EngineSelector::placeFreedEveryMs(const ServiceId& service) const {
+std::optional<double> EngineSelector::slotFreedIntervalMs(const ServiceId& service) const {
   const EnginePool* const pool = poolOf(service);
   const auto hold = hold_ms_.find(service);
   if (pool == nullptr || pool->slots() == 0 || hold == hold_ms_.end()) return std::nullopt;
@@ -241,7 +241,7 @@
   return found != paces_.end() && found->second.isUneven();
 }
 
-double EngineSelector::placesFreedEachMs(Instant now, const ServiceId& service, const ZoneId& zone) const {
+double EngineSelector::slotsFreedPerMs(Instant now, const ServiceId& service, const ZoneId& zone) const {
   const EnginePool* const pool = poolOf(service);
   if (pool == nullptr || !hold_ms_.contains(service)) return 0;
   const double hold_ms = std::max(1.0, slotHoldMs(service));
--- a/src/request/exchange/engine_selector.hpp
+++ b/src/request/exchange/engine_selector.hpp
@@ -16,7 +16,7 @@
 #include "request/admission/zone_load.hpp"
 #include "request/exchange/engine_pool.hpp"
 #include "request/exchange/engine_state.hpp"
-#include "request/exchange/load_board.hpp"
+#include "request/exchange/load_table.hpp"
 #include "request/exchange/prompt_shape.hpp"
 #include "request/exchange/surge_meter.hpp"
 #include "version/engine_changes.hpp"
@@ -51,7 +51,7 @@
   double full_risk_ms = 80;
   /// A request that has had no byte of its answer for longer than its prompt takes, and this much, counts against its
   /// engine: it costs as much as the engine is late, up to the most.
-  Duration silence_allowed = fromMillis(80);
+  Duration overdue_grace = fromMillis(80);
   double most_silence_ms = 3000;
   /// What an engine costs at most that another process reports to avoid.
   double most_reported_avoid_ms = 600;
@@ -112,7 +112,7 @@
   double give_way_ms = 10;
   /// How the pace of engines is learned; false where all engines of a service are taken as equal.
   bool learns_pace = true;
-  EnginePaceLimits pace;
+  EngineSpeedLimits pace;
   /// Where engines are uneven: what a place at one whose places are all taken but one costs more than at an idle one,
   /// so that a fast one gets more requests and yet not all of them: its end would strike them all.
   double even_fill_ms = 400;
@@ -139,7 +139,7 @@
   bool background = false;
   /// Only engines that are known to have a free place, counting those that batch runs give up unless these are spared.
   /// Loads of other zones are known late, so one of theirs must have more than one.
-  bool wants_free_place = false;
+  bool needs_free_slot = false;
   bool spares_background = false;
   /// Background only: zero for work that can wait, one for work that must run now and leaves no slots free.
   double urgency = 0;
@@ -164,7 +164,7 @@
   bool in_long_lane = false;
   std::size_t candidates = 0;
   /// A batch run holds the slot that the request is to have.
-  bool must_give_way = false;
+  bool needs_preemption = false;
   /// How long work is expected to take there against the mean engine of the service, and the age of what the engine
   /// told of that; negative where it told nothing.
   double slowness = 1;
@@ -219,11 +219,11 @@
   /// How long the engine took for a request that it has answered; before `end`.
   void noteTiming(TicketId ticket, const AnswerTiming& timing);
   /// What all other processes have in flight; goes before loads that engines report, while it is new.
-  void noteOthers(Instant now, const std::vector<EngineShare>& others);
+  void notePeerLoads(Instant now, const std::vector<EngineShare>& others);
   /// What batch runs have in flight, told apart from the others' requests.
   void noteBackground(const std::vector<EngineShare>& background);
   /// A batch run at the engine was asked to give way.
-  void noteGivingWay(const EngineId& engine);
+  void notePreemption(const EngineId& engine);
   /// What this process has in flight, for the others, by engine. Costs what is in flight, not what engines there are.
   std::vector<EngineShare> ownShares(Instant now);
   /// Requests above the engine's slots, of all processes; zero where the others' are not known.
@@ -244,12 +244,12 @@
   std::size_t engineCount(const ServiceId& service, const ZoneId& zone) const;
   /// Mean time between two places that fall free at one busy engine of the service; nothing until it was seen how long
   /// requests hold one.
-  std::optional<double> placeFreedEveryMs(const ServiceId& service) const;
+  std::optional<double> slotFreedIntervalMs(const ServiceId& service) const;
   /// True if engines of the service tell their pace, so that they are not taken as equal.
   bool isUneven(const ServiceId& service) const;
   /// Places of the zone's engines in rotation that fall free in a millisecond while all are taken; zero where it was
   /// not seen yet how long requests hold one.
-  double placesFreedEachMs(Instant now, const ServiceId& service, const ZoneId& zone) const;
+  double slotsFreedPerMs(Instant now, const ServiceId& service, const ZoneId& zone) const;
   /// Slots of all open engines.
   std::uint32_t allSlots() const;
   /// Slots of the service's engines in each zone, and what the other processes have in flight there; engines out of
@@ -372,7 +372,7 @@
   /// Mean time that an online request of a service holds its slot.
   std::map<ServiceId, double> hold_ms_;
   /// What is usual at the engines of a service; engines point into it.
-  std::map<ServiceId, ServicePace> paces_;
+  std::map<ServiceId, ServiceSpeed> paces_;
   std::set<ZoneId> evacuated_;
   std::map<ServiceId, RoutedService> services_;
   std::map<ServiceId, EnginePool> pools_;
--- a/src/request/exchange/engine_selector_choice.cpp
+++ b/src/request/exchange/engine_selector_choice.cpp
@@ -41,11 +41,11 @@
     if (!isAllowed(*state, query) || !bearsAnother(now, *state, query)) continue;
     any_in_rotation = any_in_rotation || now >= state->ejected_until;
     if (query.background && !hasBackgroundRoom(now, *state, kept_free)) continue;
-    if (query.wants_free_place && !hasFreePlace(now, *state, query)) continue;
+    if (query.needs_free_slot && !hasFreePlace(now, *state, query)) continue;
     (now < state->ejected_until ? ejected : usable).push_back(state);
   }
   // Batch work, and requests that stand in line, wait for room at an engine in rotation.
-  if ((query.background || query.wants_free_place) && any_in_rotation) return usable;
+  if ((query.background || query.needs_free_slot) && any_in_rotation) return usable;
   const std::size_t all = usable.size() + ejected.size();
   const auto least = static_cast<std::size_t>(std::ceil(static_cast<double>(all) * (1 - limits_.most_ejected_share)));
   std::sort(ejected.begin(), ejected.end(), [](const EngineState* left, const EngineState* right) {
@@ -127,7 +127,7 @@
     if (now < state->ejected_until || !isAllowed(*state, query)) continue;
     if (!bearsAnother(now, *state, query)) continue;
     if (query.background && !hasBackgroundRoom(now, *state, kept_free)) continue;
-    if (query.wants_free_place && !hasFreePlace(now, *state, query)) continue;
+    if (query.needs_free_slot && !hasFreePlace(now, *state, query)) continue;
     const double total = cost(now, *state, query, 0) + jitter(random_);
     if (total >= best_cost) continue;
     best = state;
@@ -179,7 +179,7 @@
   choice.engine = state.record;
   choice.cost_ms = cost_ms;
   choice.slowness = slowness(now, state);
-  choice.pace_age_ms = state.pace.toldAgeMs(now);
+  choice.pace_age_ms = state.pace.reportedAgeMs(now);
   choice.expected_first_ms =
       std::max(0.0, readingMs(now, state, query, kept, choice.slowness) + paceMs(state, choice.slowness));
   // A guessed time would turn callers back just when processes have started anew.
@@ -190,7 +190,7 @@
   choice.expects_cached_prefix = kept > 0;
   choice.in_long_lane = state.in_long_lane;
   choice.candidates = among;
-  choice.must_give_way = mustGiveWay(now, state);
+  choice.needs_preemption = mustGiveWay(now, state);
   choice.detour_ms = silenceCost(now, state);
   if (state.record.zone != query.zone) {
     choice.detour_ms += limits_.other_zone_cost_ms + riskCost(state, choice.estimated_running);
--- a/src/request/exchange/engine_state.hpp
+++ b/src/request/exchange/engine_state.hpp
@@ -6,7 +6,7 @@
 #include <unordered_map>
 
 #include "common/time.hpp"
-#include "request/admission/engine_pace.hpp"
+#include "request/admission/engine_speed.hpp"
 #include "version/engine_record.hpp"
 
 namespace hatchfork::request {
@@ -49,8 +49,8 @@
   /// When requests that share a prefix were last sent here, by the identity of the prefix.
   std::unordered_map<std::uint64_t, Instant> prefixes;
   /// How fast this life works, and what is usual at its service, which the owner of this state keeps.
-  EnginePace pace;
-  ServicePace* service_pace = nullptr;
+  EngineSpeed pace;
+  ServiceSpeed* service_pace = nullptr;
   /// Where its pool keeps it: among all, among those of its zone.
   std::size_t place = 0;
   std::size_t zone_place = 0;
--- a/src/request/exchange/load_digest.hpp
+++ b/src/request/exchange/load_digest.hpp
@@ -11,7 +11,7 @@
 
 #include "common/ids.hpp"
 #include "request/exchange/engine_keys.hpp"
-#include "request/exchange/load_board.hpp"
+#include "request/exchange/load_table.hpp"
 
 /// The loads of all engines in a few bytes each, encoded once for all receivers.
 ///
--- a/src/request/exchange/load_board.hpp
+++ b/src/request/exchange/load_table.hpp
@@ -35,7 +35,7 @@
 
 /// Adds up what all processes have in flight at each engine, from their reports. A report counts until the next one of
 /// the same process, or for a second. No I/O, no clock.
-class LoadBoard {
+class LoadTable {
  public:
   void report(Instant now, const std::string& process, std::vector<EngineShare> shares);
   void expire(Instant now);
--- a/src/request/exchange/stream_position.hpp
+++ b/src/request/exchange/stream_position.hpp
@@ -73,9 +73,9 @@
   /// The event after which the next attempt goes on; nothing for an attempt that begins with the first event.
   std::optional<std::uint64_t> last() const { return last_; }
   /// False once something was read that no event's identifier names.
-  bool canGoOn() const { return is_nameable_; }
+  bool canResume() const { return is_nameable_; }
   /// True while an unproved close stands and nothing has come since.
-  bool mayBeWhole() const { return close_is_open_; }
+  bool mayBeComplete() const { return close_is_open_; }
 
  private:
   std::optional<std::uint64_t> last_;
--- a/src/request/limits/rate_credit.hpp
+++ b/src/request/limits/rate_credit.hpp
@@ -27,19 +27,19 @@
 };
 
 /// A request that waits at a gateway for a credit, as the owner of the limit has to know it.
-struct CreditAsk {
+struct CreditRequestEntry {
   /// Equal for each try of one caller with the same content, at whatever gateway.
   std::uint64_t content = 0;
   /// Rank of its route; zero is the most urgent.
   std::uint32_t rank = 0;
   /// How long it may wait at its gateway and still be in time.
-  Duration in_time{};
+  Duration max_timely_wait{};
   /// How long it may wait at its gateway for an answer that is late, but of use.
-  Duration at_all{};
+  Duration max_useful_wait{};
   /// For how long its caller lets itself be sent away.
   Duration away{};
 
-  bool operator==(const CreditAsk&) const = default;
+  bool operator==(const CreditRequestEntry&) const = default;
 };
 
 enum class CreditOutcome : std::uint8_t {
@@ -49,35 +49,35 @@
   /// One is kept for it, so soon that it waits at its gateway and asks again then.
   kWait = 2,
   /// Its caller is to come back: a credit is kept for it.
-  kReturn = 3,
+  kRetryReserved = 3,
   /// Its caller is to come back as late as it lets itself be sent away; no credit is kept for it.
-  kReturnUnkept = 4,
+  kRetryUnreserved = 4,
 };
 
-/// What the owner says to one `CreditAsk`.
-struct CreditReply {
+/// What the owner says to one `CreditRequestEntry`.
+struct CreditDecision {
   std::uint64_t content = 0;
   CreditOutcome outcome = CreditOutcome::kRefused;
   /// When to ask again, or to come back.
   Duration after{};
 
-  bool operator==(const CreditReply&) const = default;
+  bool operator==(const CreditDecision&) const = default;
 };
 
 /// What a gateway asks for.
-struct CreditQuestion {
+struct CreditRequest {
   /// Credits for requests that wait or are likely soon; those of `asks` count among them.
   double wanted = 0;
   /// Requests of the tenant that came to the gateway since it last asked.
   double arrivals = 0;
   /// Requests that wait; none from gateways that know no appointments.
-  std::vector<CreditAsk> asks = {};
+  std::vector<CreditRequestEntry> asks = {};
 
-  bool operator==(const CreditQuestion&) const = default;
+  bool operator==(const CreditRequest&) const = default;
 };
 
 /// What the owner answers.
-struct CreditAnswer {
+struct CreditResponse {
   /// Beside what is granted to `asks`.
   double granted = 0;
   /// Requests a second that all gateways together have lately been granted.
@@ -87,10 +87,10 @@
   /// When there will be a credit again; zero where there is one.
   Duration wait{};
   /// The owner answers each ask; false for one that knows no appointments.
-  bool gives_appointments = false;
+  bool supports_scheduled_retries = false;
   /// Credits are so few that they go to requests that wait alone, none ahead.
-  bool is_tight = false;
-  std::vector<CreditReply> replies = {};
+  bool is_scarce = false;
+  std::vector<CreditDecision> replies = {};
 };
 
 }  // namespace hatchfork::request
--- a/src/request/limits/rate_limit_account.cpp
+++ b/src/request/limits/rate_limit_account.cpp
@@ -60,32 +60,32 @@
   return true;
 }
 
-std::optional<CreditQuestion> RateLimitAccount::nextQuestion(Instant now, std::size_t waiting) {
-  if (asked_at_ || isOverLimit(now) || isCutOff(now)) return std::nullopt;
+std::optional<CreditRequest> RateLimitAccount::nextRequest(Instant now, std::size_t waiting) {
+  if (asked_at_ || isOverLimit(now) || isOwnerUnreachable(now)) return std::nullopt;
   if (now < ask_again_at_) return std::nullopt;
   dropExpired(now);
   const double ahead = std::floor(kAheadPart * toSeconds(options_.creditLifetime()) * arrivals_.rate(now));
   const double held = stock();
   if (waiting == 0 && held >= kRefillBelow * ahead) return std::nullopt;
   asked_at_ = now;
-  CreditQuestion question{ahead - std::min(held, ahead) + static_cast<double>(waiting)};
-  if (options_.appointments) question.arrivals = std::exchange(arrivals_untold_, 0);
-  return question;
+  CreditRequest credit_request{ahead - std::min(held, ahead) + static_cast<double>(waiting)};
+  if (options_.appointments) credit_request.arrivals = std::exchange(arrivals_untold_, 0);
+  return credit_request;
 }
 
-void RateLimitAccount::noteAnswer(Instant now, const CreditAnswer& answer) {
+void RateLimitAccount::noteResponse(Instant now, const CreditResponse& answer) {
   const std::optional<Instant> asked_at = std::exchange(asked_at_, std::nullopt);
   cut_off_until_ = Instant{};
   answered_at_ = now;
   last_answer_ = answer;
   admitted_at_answer_ = admitted_.rate(now);
   if (!asked_at) {
-    // The question was given up long ago; its credits may be too old.
+    // The credit_request was given up long ago; its credits may be too old.
     return;
   }
   if (answer.granted >= 1) lots_.push_back(Lot{answer.granted, *asked_at + options_.creditLifetime()});
-  if (answer.is_tight) ask_again_at_ = *asked_at + kGatherFor;
-  if (answer.gives_appointments) return;
+  if (answer.is_scarce) ask_again_at_ = *asked_at + kGatherFor;
+  if (answer.supports_scheduled_retries) return;
   if (answer.granted < 1) over_limit_until_ = now + std::clamp(answer.wait, kShortestPause, kLongestPause);
 }
 
@@ -96,7 +96,7 @@
   return std::min(1.0, admitted_at_answer_ / last_answer_.used_per_second);
 }
 
-void RateLimitAccount::noteNoAnswer(Instant now, const TenantLimits& limits) {
+void RateLimitAccount::noteNoResponse(Instant now, const TenantLimits& limits) {
   asked_at_.reset();
   cut_off_until_ = now + kCutOffFor;
   const double rate = limits.online_requests_per_second * ownPart();
@@ -112,13 +112,13 @@
   own_bucket_until_ = now + options_.window;
 }
 
-bool RateLimitAccount::tryTakeOwnPart(Instant now) {
+bool RateLimitAccount::tryTakeLocalShare(Instant now) {
   if (!own_bucket_.tryTake(now)) return false;
   admitted_.note(now, 1);
   return true;
 }
 
-Duration RateLimitAccount::comeBackAfter(Instant now, const TenantLimits& limits) {
+Duration RateLimitAccount::retryDelay(Instant now, const TenantLimits& limits) {
   const double rate = limits.online_requests_per_second * ownPart();
   const double pause_seconds = rate <= 0 ? toSeconds(kLongestReturn) : 1 / rate;
   const Duration pause(static_cast<Duration::rep>(std::min(pause_seconds, toSeconds(kLongestReturn)) * 1e6));
--- a/src/request/limits/rate_limit_account.hpp
+++ b/src/request/limits/rate_limit_account.hpp
@@ -22,30 +22,30 @@
   void noteArrival(Instant now);
   /// Uses a credit if there is one.
   bool tryTake(Instant now);
-  /// The question that should go to the owner now, for `waiting` requests and those to come; nothing while one is under
-  /// way or there are credits enough.
-  std::optional<CreditQuestion> nextQuestion(Instant now, std::size_t waiting);
-  void noteAnswer(Instant now, const CreditAnswer& answer);
-  /// The question that is in flight has found no owner, or no answer in time.
-  void noteNoAnswer(Instant now, const TenantLimits& limits);
+  /// The credit_request that should go to the owner now, for `waiting` requests and those to come; nothing while one is
+  /// under way or there are credits enough.
+  std::optional<CreditRequest> nextRequest(Instant now, std::size_t waiting);
+  void noteResponse(Instant now, const CreditResponse& answer);
+  /// The credit_request that is in flight has found no owner, or no answer in time.
+  void noteNoResponse(Instant now, const TenantLimits& limits);
   /// A request has got its credit as the reply to its own ask.
   void noteGranted(Instant now) { admitted_.note(now, 1); }
   /// From when the owner may be asked again: while credits are few, questions are gathered.
-  Instant askAgainAt() const { return ask_again_at_; }
-  bool isAsking() const { return asked_at_.has_value(); }
+  Instant nextRequestAt() const { return ask_again_at_; }
+  bool isRequestInFlight() const { return asked_at_.has_value(); }
   /// True while the owner is known to have no credit.
   bool isOverLimit(Instant now) const { return now < over_limit_until_; }
   /// True while the owner is taken for out of reach.
-  bool isCutOff(Instant now) const { return now < cut_off_until_; }
+  bool isOwnerUnreachable(Instant now) const { return now < cut_off_until_; }
   /// Admits a request without the owner, from this gateway's own part of the limit.
-  bool tryTakeOwnPart(Instant now);
+  bool tryTakeLocalShare(Instant now);
   /// When a caller that is over the limit has a chance; later for each further one, so that they do not come at once.
-  Duration comeBackAfter(Instant now, const TenantLimits& limits);
+  Duration retryDelay(Instant now, const TenantLimits& limits);
 
   bool isIdle(Instant now) const;
   /// When the owner last answered; nothing before it did.
-  std::optional<Instant> answeredAt() const { return answered_at_; }
-  const CreditAnswer& lastAnswer() const { return last_answer_; }
+  std::optional<Instant> lastResponseAt() const { return answered_at_; }
+  const CreditResponse& lastResponse() const { return last_answer_; }
 
  private:
   struct Lot {
@@ -68,7 +68,7 @@
   /// Arrivals that the owner has not been told of.
   double arrivals_untold_ = 0;
   std::optional<Instant> answered_at_;
-  CreditAnswer last_answer_;
+  CreditResponse last_answer_;
   /// What this gateway admitted a second when the owner last told what all of them do.
   double admitted_at_answer_ = 0;
   Instant over_limit_until_{};
--- a/src/request/limits/rate_limit_owner.cpp
+++ b/src/request/limits/rate_limit_owner.cpp
@@ -16,7 +16,7 @@
 /// are lacking at another one.
 constexpr Duration kTightBelow = fromMillis(100);
 
-void add(ReturnCounters& sum, const ReturnCounters& part) {
+void add(RetryCounters& sum, const RetryCounters& part) {
   sum.promised += part.promised;
   sum.used += part.used;
   sum.lapsed += part.lapsed;
@@ -38,7 +38,7 @@
 RateLimitOwner::Bucket& RateLimitOwner::bucketOf(Instant now, const TenantId& tenant, const TenantLimits& limits) {
   const double capacity = capacityOf(limits);
   const auto [entry, is_new] =
-      buckets_.try_emplace(tenant, Bucket{0, now, RateMeter(options_.window), ReturnSchedule()});
+      buckets_.try_emplace(tenant, Bucket{0, now, RateMeter(options_.window), RetrySchedule()});
   Bucket& bucket = entry->second;
   if (is_new) {
     const double takeover_seconds = kTakeoverPart * toSeconds(options_.window);
@@ -55,12 +55,13 @@
 }
 
 /// Those with the most urgent rank first, in the order in which they came.
-void RateLimitOwner::answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditQuestion& question,
-                                CreditAnswer& answer) const {
+void RateLimitOwner::answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits,
+                                const CreditRequest& credit_request, CreditResponse& answer) const {
   const double rate = limits.online_requests_per_second;
-  std::vector<CreditAsk> asks = question.asks;
-  std::stable_sort(asks.begin(), asks.end(), [](const CreditAsk& a, const CreditAsk& b) { return a.rank < b.rank; });
-  for (const CreditAsk& ask : asks) {
+  std::vector<CreditRequestEntry> asks = credit_request.asks;
+  std::stable_sort(asks.begin(), asks.end(),
+                   [](const CreditRequestEntry& a, const CreditRequestEntry& b) { return a.rank < b.rank; });
+  for (const CreditRequestEntry& ask : asks) {
     answer.replies.push_back(bucket.schedule.judge(now, ask, rate, capacityOf(limits), bucket.level));
     if (answer.replies.back().outcome != CreditOutcome::kGranted) continue;
     bucket.level -= 1;
@@ -68,22 +69,22 @@
   }
 }
 
-CreditAnswer RateLimitOwner::answer(Instant now, const TenantId& tenant, const TenantLimits& limits,
-                                    const CreditQuestion& question) {
+CreditResponse RateLimitOwner::answer(Instant now, const TenantId& tenant, const TenantLimits& limits,
+                                      const CreditRequest& credit_request) {
   Bucket& bucket = bucketOf(now, tenant, limits);
   const double rate = limits.online_requests_per_second;
   const double capacity = capacityOf(limits);
-  CreditAnswer answer;
-  answer.gives_appointments = options_.appointments;
-  double wanted = question.wanted;
+  CreditResponse answer;
+  answer.supports_scheduled_retries = options_.appointments;
+  double wanted = credit_request.wanted;
   double reserve = 0;
   if (options_.appointments) {
-    const bool tells_arrivals = question.arrivals > 0 || !question.asks.empty();
-    bucket.schedule.noteArrivals(now, tells_arrivals ? question.arrivals : question.wanted);
-    answerAsks(now, bucket, limits, question, answer);
-    wanted -= static_cast<double>(question.asks.size());
+    const bool tells_arrivals = credit_request.arrivals > 0 || !credit_request.asks.empty();
+    bucket.schedule.noteArrivals(now, tells_arrivals ? credit_request.arrivals : credit_request.wanted);
+    answerAsks(now, bucket, limits, credit_request, answer);
+    wanted -= static_cast<double>(credit_request.asks.size());
     const double kept = static_cast<double>(bucket.schedule.kept(now, rate, capacity));
-    answer.is_tight = bucket.level - kept < rate * toSeconds(kTightBelow);
+    answer.is_scarce = bucket.level - kept < rate * toSeconds(kTightBelow);
     // A gateway that tells no arrivals has requests waiting among those it wants.
     reserve = kept + (tells_arrivals ? rate * toSeconds(kTightBelow) : 0);
   }
@@ -103,8 +104,8 @@
   return sum;
 }
 
-ReturnCounters RateLimitOwner::returns() const {
-  ReturnCounters sum = forgotten_;
+RetryCounters RateLimitOwner::returns() const {
+  RetryCounters sum = forgotten_;
   for (const auto& [tenant, bucket] : buckets_) add(sum, bucket.schedule.counters());
   return sum;
 }
--- a/src/request/routing/others_load.hpp
+++ b/src/request/routing/peer_load_estimator.hpp
@@ -8,7 +8,7 @@
 
 namespace hatchfork::request {
 
-struct OthersLoadOptions {
+struct PeerLoadOptions {
   /// Typical age of the load that a report shows when it arrives.
   Duration report_age = fromMillis(600);
   /// Time over which reported and own load are averaged.
@@ -21,9 +21,9 @@
 /// gateway itself had there. A single report says little: it describes requests that have long ended, and the own ones
 /// among them are not marked. So both are averaged, the own load as it was when the report was true, and only the
 /// steady difference counts. One engine, one traffic thread.
-class OthersLoad {
+class PeerLoadEstimator {
  public:
-  explicit OthersLoad(OthersLoadOptions options = {}) : options_(options) {}
+  explicit PeerLoadEstimator(PeerLoadOptions options = {}) : options_(options) {}
 
   /// `reported`: online requests running or queued at the engine; `own`: this gateway's in flight now.
   void recordReport(Instant now, std::uint32_t reported, std::uint32_t own);
@@ -38,7 +38,7 @@
   /// The own load at about the time that a report of `now` describes.
   std::uint32_t ownThen(Instant now);
 
-  OthersLoadOptions options_;
+  PeerLoadOptions options_;
   std::deque<OwnSample> own_;
   double average_ = 0;
   std::optional<Instant> reported_at_;
--- a/src/request/routing/router.hpp
+++ b/src/request/routing/router.hpp
@@ -13,8 +13,8 @@
 #include "common/time.hpp"
 #include "request/limits/adaptive_concurrency.hpp"
 #include "request/routing/load_report.hpp"
-#include "request/routing/others_load.hpp"
 #include "request/routing/outlier_detector.hpp"
+#include "request/routing/peer_load_estimator.hpp"
 #include "request/routing/prefix_index.hpp"
 #include "request/routing/service_fleet.hpp"
 #include "request/urgency.hpp"
@@ -39,7 +39,7 @@
   /// can make batch work yield at once only on engines it owns.
   double other_zone_penalty = 0.15;
   double not_owned_penalty = 0.1;
-  OthersLoadOptions others_load;
+  PeerLoadOptions peer_load;
   OutlierOptions outlier;
   AdaptiveConcurrencyOptions concurrency;
   Duration first_token_target = fromMillis(360);
@@ -124,7 +124,7 @@
     /// Prompt tokens of own online attempts that have not answered yet.
     std::uint32_t pending_prefill = 0;
     LoadReport report;
-    OthersLoad others;
+    PeerLoadEstimator others;
     AdaptiveConcurrency concurrency;
   };
   /// An engine that may take the request, with the figures it is judged by.
--- a/tests/connection/slow_readers_test.cpp
+++ b/tests/connection/slow_readers_test.cpp
@@ -22,8 +22,8 @@
   request::ByteBudgetLimits limits;
   limits.most_bytes = kMostBytes;
   limits.patience = fromMillis(1000);
-  limits.patience_under_pressure = fromMillis(300);
-  limits.least_patience = fromMillis(100);
+  limits.silence_limit_under_pressure = fromMillis(300);
+  limits.min_silence_limit = fromMillis(100);
   return limits;
 }
 
--- a/tests/process/exchange/rate_limit_client_test.cpp
+++ b/tests/process/exchange/rate_limit_client_test.cpp
@@ -4,8 +4,8 @@
 
 using namespace hatchfork;
 using namespace hatchfork::exchange;
+using request::CreditDecision;
 using request::CreditOutcome;
-using request::CreditReply;
 
 namespace {
 
@@ -63,23 +63,23 @@
   }
 
   /// Answers the question that is being sent, a moment later.
-  void answer(request::CreditAnswer answer) {
+  void answer(request::CreditResponse answer) {
     connection::asio::post(context_, [this, answer] { client_.take({kCrew, true, answer}); });
   }
   void later(std::function<void()> action) { connection::asio::post(context_, std::move(action)); }
 
-  static request::CreditAnswer saying(CreditOutcome outcome, Duration after) {
-    request::CreditAnswer answer;
-    answer.gives_appointments = true;
-    answer.is_tight = true;
-    answer.replies = {CreditReply{77, outcome, after}};
+  static request::CreditResponse saying(CreditOutcome outcome, Duration after) {
+    request::CreditResponse answer;
+    answer.supports_scheduled_retries = true;
+    answer.is_scarce = true;
+    answer.replies = {CreditDecision{77, outcome, after}};
     return answer;
   }
 
   std::function<void(const fleet::CreditQuestionFrame&)> on_question;
   std::vector<fleet::CreditQuestionFrame> questions;
   FakeCaller caller;
-  const request::HoldBudget& holds() const { return holds_; }
+  const request::PendingBudget& holds() const { return holds_; }
   const RateLimitCounters& counters() const { return client_.counters(); }
 
  private:
@@ -90,7 +90,7 @@
   }
 
   connection::asio::io_context context_;
-  request::HoldBudget holds_;
+  request::PendingBudget holds_;
   RateLimitClient client_;
   Tenant tenant_;
 };
@@ -108,11 +108,11 @@
   REQUIRE(isOk(gateway.admit()));
   REQUIRE(gateway.questions.size() == 2);
   REQUIRE(gateway.questions[0].question.asks.size() == 1);
-  const request::CreditAsk& first = gateway.questions[0].question.asks.at(0);
-  const request::CreditAsk& second = gateway.questions[1].question.asks.at(0);
+  const request::CreditRequestEntry& first = gateway.questions[0].question.asks.at(0);
+  const request::CreditRequestEntry& second = gateway.questions[1].question.asks.at(0);
   REQUIRE(second.content == first.content);
   // What it has waited is gone from what it can still use.
-  REQUIRE(second.at_all < first.at_all);
+  REQUIRE(second.max_useful_wait < first.max_useful_wait);
   REQUIRE(gateway.counters().admitted_held == 1);
   REQUIRE(gateway.holds().requests() == 0);
   REQUIRE_FALSE(gateway.caller.isWatched());
@@ -133,7 +133,9 @@
 
 TEST_CASE("a caller is sent away with the time of the credit that is kept for it", "[gateway][returns]") {
   Gateway gateway;
-  gateway.on_question = [&](const auto&) { gateway.answer(Gateway::saying(CreditOutcome::kReturn, fromMillis(700))); };
+  gateway.on_question = [&](const auto&) {
+    gateway.answer(Gateway::saying(CreditOutcome::kRetryReserved, fromMillis(700)));
+  };
   const Status status = gateway.admit();
   REQUIRE(errorOf(status).kind == ErrorKind::kRateLimited);
   REQUIRE(errorOf(status).retry_after == fromMillis(700));
@@ -150,7 +152,7 @@
 
 TEST_CASE("an owner of an earlier release is taken at its word", "[gateway][returns]") {
   Gateway gateway;
-  request::CreditAnswer old;
+  request::CreditResponse old;
   old.wait = fromMillis(100);
   gateway.on_question = [&](const auto&) { gateway.answer(old); };
   const Status refused = gateway.admit();
@@ -161,7 +163,7 @@
 
 TEST_CASE("an owner of an earlier release grants a request that waits", "[gateway][returns]") {
   Gateway gateway;
-  request::CreditAnswer old;
+  request::CreditResponse old;
   old.granted = 1;
   gateway.on_question = [&](const auto&) { gateway.answer(old); };
   REQUIRE(isOk(gateway.admit()));
@@ -169,7 +171,7 @@
 
 TEST_CASE("switched off, a gateway names no requests", "[gateway][returns]") {
   Gateway gateway(10, /*appointments=*/false);
-  request::CreditAnswer old;
+  request::CreditResponse old;
   old.granted = 1;
   gateway.on_question = [&](const auto&) { gateway.answer(old); };
   REQUIRE(isOk(gateway.admit()));
--- a/tests/process/exchange/start_gate_test.cpp
+++ b/tests/process/exchange/start_gate_test.cpp
@@ -39,7 +39,7 @@
   };
 
   connection::asio::io_context context;
-  request::HoldBudget budget{3, 1000};
+  request::PendingBudget budget{3, 1000};
   StartGate gate{context, budget, 7};
   bool is_open = false;
   std::vector<std::unique_ptr<FakeCaller>> callers;
--- a/tests/process/fleet/frame_reader_test.cpp
+++ b/tests/process/fleet/frame_reader_test.cpp
@@ -52,9 +52,9 @@
   CHECK(taken.release == 9);
 
   // All fields of this release, so that the further one stands behind them.
-  request::CreditQuestion known;
+  request::CreditRequest known;
   known.wanted = 5;
-  known.asks.push_back(request::CreditAsk{.content = 7});
+  known.asks.push_back(request::CreditRequestEntry{.content = 7});
   nlohmann::json question = CreditQuestionFrame{TenantId("t"), known};
   question.push_back("of a later release");
   const auto credit = reader.read(frameOf("cq", question));
--- a/tests/process/store/item_answers_test.cpp
+++ b/tests/process/store/item_answers_test.cpp
@@ -73,7 +73,7 @@
   /// Loses what stores report, or delivers it again.
   void loseReports(bool lost) { reports_lost_ = lost; }
   /// Has the leader break off the run at the engine, as for an online request.
-  void giveWay() { stores_[leader_].executor->giveWay(EngineId("e")); }
+  void preemptAt() { stores_[leader_].executor->preemptAt(EngineId("e")); }
   /// The run has ended, and nobody but its store knows how.
   bool isAnswered(std::size_t run) const { return runsAtEngine() >= run && runsInFlight() == 0; }
   std::size_t runsAtEngine() const { return engine_.requests().size(); }
@@ -187,7 +187,7 @@
   StorePair stores(422);
   stores.changeLeader();
   REQUIRE(stores.runUntil([&] { return stores.isAnswered(1); }));
-  stores.giveWay();
+  stores.preemptAt();
   REQUIRE(stores.runUntil([&] { return stores.isListed(); }));
   REQUIRE(stores.runsAtEngine() == 1);
 }
--- a/tests/process/store/item_runner_test.cpp
+++ b/tests/process/store/item_runner_test.cpp
@@ -177,7 +177,7 @@
   RunnerStage stage(eventStream(/*whole=*/false));
   stage.order(1, 7, 0);
   stage.waitForNews(1);
-  stage.runner().handBack();
+  stage.runner().abortAll();
   REQUIRE(stage.news().back().ended);
   REQUIRE(stage.news().back().end == RunEnd::kBroken);
   REQUIRE(stage.news().back().last_event == 4);
@@ -214,7 +214,7 @@
   RunnerStage stage("HTTP/1.1 " + answer + "\r\nX-Attempt-Id: item\r\nContent-Length: 0\r\n\r\n");
   stage.order(1, 7, /*last_event=*/0);
   stage.waitForNews(1);
-  REQUIRE(stage.runner().unkeptAnswers() == 1);
+  REQUIRE(stage.runner().unconfirmedAnswers() == 1);
   // Neither a silent leader nor a new one makes the store forget it.
   stage.runner().tick(monotonicNow() + fromMillis(9000));
   const std::size_t before = stage.reports().size();
@@ -230,7 +230,7 @@
   REQUIRE(told.answers.front().item == "item");
   REQUIRE(told.answers.front().end == end);
   stage.runner().take(RunLease{ReplicaId("10.0.0.3"), 2, {}, {7}});
-  REQUIRE(stage.runner().unkeptAnswers() == 0);
+  REQUIRE(stage.runner().unconfirmedAnswers() == 0);
   stage.runner().tick(monotonicNow() + fromMillis(9600));
   REQUIRE(stage.reports().size() == before + 2);
 }
--- a/tests/request/admission/byte_budget_test.cpp
+++ b/tests/request/admission/byte_budget_test.cpp
@@ -23,8 +23,8 @@
   return ByteBudget(limits);
 }
 
-HeldId offered(ByteBudget& budget, Instant now, std::size_t bytes) {
-  const HeldId held = budget.hold(bytes);
+BufferId offered(ByteBudget& budget, Instant now, std::size_t bytes) {
+  const BufferId held = budget.hold(bytes);
   budget.offer(now, held);
   return held;
 }
@@ -33,8 +33,8 @@
 
 TEST_CASE("A peer that takes nothing is let go after its patience, one that reads on is kept", "[byte_budget]") {
   ByteBudget budget = budgetOf();
-  const HeldId silent = offered(budget, kStart, 100);
-  const HeldId reading = offered(budget, kStart, 100);
+  const BufferId silent = offered(budget, kStart, 100);
+  const BufferId reading = offered(budget, kStart, 100);
   budget.noteTaken(after(9), reading, 1);
   CHECK(budget.slowPeers(after(9.9)).empty());
   const std::vector<SlowPeer> slow = budget.slowPeers(after(10));
@@ -46,7 +46,7 @@
 
 TEST_CASE("What is only collected makes nobody a slow reader", "[byte_budget]") {
   ByteBudget budget = budgetOf();
-  const HeldId held = budget.hold(2 * kBound);
+  const BufferId held = budget.hold(2 * kBound);
   CHECK(budget.slowPeers(after(100)).empty());
   budget.offer(after(100), held);
   CHECK(budget.slowPeers(after(100.4)).empty());
@@ -56,7 +56,7 @@
 TEST_CASE("Under pressure the greediest goes first, and no more than needed", "[byte_budget]") {
   ByteBudget budget = budgetOf();
   offered(budget, kStart, 200);
-  const HeldId greediest = offered(budget, kStart, 300);
+  const BufferId greediest = offered(budget, kStart, 300);
   offered(budget, kStart, 100);
   CHECK(budget.slowPeers(after(1.9)).empty());
   const std::vector<SlowPeer> slow = budget.slowPeers(after(2));
@@ -66,9 +66,9 @@
 
 TEST_CASE("Those who collect wait at three quarters of the bound, but never all for each other", "[byte_budget]") {
   ByteBudget budget = budgetOf();
-  const HeldId kept = budget.hold(100);
-  const HeldId oldest = budget.beginCollecting();
-  const HeldId next = budget.beginCollecting();
+  const BufferId kept = budget.hold(100);
+  const BufferId oldest = budget.beginCollecting();
+  const BufferId next = budget.beginCollecting();
   budget.add(oldest, 300);
   budget.add(next, 300);
   CHECK(budget.hasRoom());
@@ -85,7 +85,7 @@
 TEST_CASE("Nobody collects beyond the room while peers are to take what they were offered", "[byte_budget]") {
   ByteBudget budget = budgetOf();
   offered(budget, kStart, 300);
-  const HeldId oldest = budget.beginCollecting();
+  const BufferId oldest = budget.beginCollecting();
   budget.add(oldest, 500);
   CHECK_FALSE(budget.mayGrow(oldest));
   // They are let go in time, and then it goes on.
@@ -99,20 +99,20 @@
   constexpr std::size_t kAnswer = 64 << 10;
   constexpr std::size_t kWindow = 16 << 10;  // a socket takes so much more once that is read
   ByteBudget budget = budgetOf(40u << 20);
-  std::map<HeldId, std::size_t> slow;
+  std::map<BufferId, std::size_t> slow;
   std::size_t others_served = 0;
   std::size_t let_go = 0;
   for (int tick = 0; tick < 240; ++tick) {  // a minute of quarter seconds
     const Instant now = after(tick * 0.25);
     // Eight slow callers come each quarter of a second, as long as there is room; their sockets take a window at once.
     for (int i = 0; i < 8 && slow.size() < 500 && budget.hasRoom(); ++i) {
-      const HeldId held = offered(budget, now, kAnswer);
+      const BufferId held = offered(budget, now, kAnswer);
       budget.noteTaken(now, held, kWindow);
       slow[held] = kAnswer - kWindow;
     }
     // Another one takes all of its answer at once.
     if (budget.hasRoom()) {
-      const HeldId quick = offered(budget, now, kAnswer);
+      const BufferId quick = offered(budget, now, kAnswer);
       budget.noteTaken(now, quick, kAnswer);
       budget.release(quick);
       ++others_served;
@@ -131,14 +131,14 @@
 TEST_CASE("The sum is that of what is held, and nobody is let go before its patience", "[byte_budget][property]") {
   CHECK(testing::holds([] {
     ByteBudget budget = budgetOf();
-    std::map<HeldId, std::size_t> held;
-    std::map<HeldId, Instant> waits;
+    std::map<BufferId, std::size_t> held;
+    std::map<BufferId, Instant> waits;
     Instant now = kStart;
     const auto steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step < steps; ++step) {
       now += fromMillis(*rc::gen::inRange(0, 1500));
       const auto bytes = static_cast<std::size_t>(*rc::gen::inRange(1, 400));
-      const auto offer = [&](HeldId id) {
+      const auto offer = [&](BufferId id) {
         waits[id] = now;
         budget.offer(now, id);
       };
@@ -149,7 +149,7 @@
       };
       switch (*rc::gen::inRange(0, 4)) {
         case 0: {
-          const HeldId id = budget.beginCollecting();
+          const BufferId id = budget.beginCollecting();
           budget.add(id, bytes);
           held[id] = bytes;
           break;
@@ -180,7 +180,7 @@
       RC_ASSERT(budget.bytes() == sum);
       for (const SlowPeer& peer : budget.slowPeers(now)) {
         RC_ASSERT(waits.contains(peer.held));
-        RC_ASSERT(peer.silent_for >= budget.limits().least_patience);
+        RC_ASSERT(peer.silent_for >= budget.limits().min_silence_limit);
       }
     }
   }));
--- a/tests/request/admission/engine_pace_test.cpp
+++ b/tests/request/admission/engine_speed_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/engine_pace.hpp"
+#include "request/admission/engine_speed.hpp"
 
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
@@ -14,14 +14,14 @@
 
 const ServiceId kService("llm");
 const ZoneId kZone("z1");
-constexpr EnginePaceLimits kLimits;
+constexpr EngineSpeedLimits kLimits;
 
 AnswerTiming answer(double step_ms) {
   return AnswerTiming{30, step_ms * 16, 17};
 }
 
-ServicePace usualService(double step_ms) {
-  ServicePace service;
+ServiceSpeed usualService(double step_ms) {
+  ServiceSpeed service;
   for (int i = 0; i < 200; ++i) service.note(answer(step_ms), kLimits);
   return service;
 }
@@ -40,7 +40,7 @@
   double busiest_over_mean = 0;
 };
 
-/// A square wave with a jump, placed by one process that is told 5 ms late of what begins and ends.
+/// A square wave with a jump, placed by one process that is reported 5 ms late of what begins and ends.
 Played playJump(bool learns_pace, std::uint64_t seed, double jump) {
   constexpr double kObjectiveMs = 300;
   constexpr Duration kToldAfter = fromMillis(5);
@@ -53,7 +53,7 @@
   limits.learns_pace = learns_pace;
   EngineSelector selector(seed, limits);
   selector.takeEngines(time.now(), wholeListOf(engines.records(kService, kZone)));
-  for (double at = 0; at < kEndMs; at += 50) time.at(at, [&] { selector.noteOthers(time.now(), {}); });
+  for (double at = 0; at < kEndMs; at += 50) time.at(at, [&] { selector.notePeerLoads(time.now(), {}); });
   const replay::Load wave{{0, 100}, {3400, 255}, {5800, 100}, {9200, 255 * jump}, {11600, 100}};
   Played played;
   for (const double at : replay::arrivals(wave, kEndMs, seed)) {
@@ -101,9 +101,9 @@
 }
 
 TEST_CASE("an engine's speed is learned against the service's mean", "[pace]") {
-  const ServicePace service = usualService(36);
-  EnginePace fast;
-  EnginePace slow;
+  const ServiceSpeed service = usualService(36);
+  EngineSpeed fast;
+  EngineSpeed slow;
   for (int i = 0; i < 30; ++i) {
     fast.note(answer(36 * 0.6), service, kLimits);
     slow.note(answer(36 * 1.6), service, kLimits);
@@ -115,12 +115,12 @@
 }
 
 TEST_CASE("few observations say little of an engine, and a single odd one even less", "[pace]") {
-  const ServicePace service = usualService(36);
-  EnginePace engine;
+  const ServiceSpeed service = usualService(36);
+  EngineSpeed engine;
   REQUIRE(engine.learned(service, kLimits) == 1);
   engine.note(answer(36 * 100), service, kLimits);
   REQUIRE(engine.learned(service, kLimits) <= 1.5);
-  EnginePace known;
+  EngineSpeed known;
   for (int i = 0; i < 20; ++i) known.note(answer(36), service, kLimits);
   known.note(answer(36 * 100), service, kLimits);
   REQUIRE(known.learned(service, kLimits) < 1.06);
@@ -128,8 +128,8 @@
 
 TEST_CASE("a learned speed stays within its bounds, whatever answers took", "[pace]") {
   const bool holds = rc::check([](const std::vector<std::uint16_t>& steps) {
-    ServicePace service;
-    EnginePace engine;
+    ServiceSpeed service;
+    EngineSpeed engine;
     for (const std::uint16_t step : steps) {
       service.note(answer(step), kLimits);
       engine.note(answer(step * 7.0), service, kLimits);
@@ -143,16 +143,16 @@
 
 TEST_CASE("what an engine told of its pace counts less and less, and nothing after a second", "[pace]") {
   const Instant now = replay::kBegin;
-  EnginePace engine;
-  REQUIRE(engine.told(now, kLimits) == 1);
-  REQUIRE(engine.toldAgeMs(now) == -1);
-  engine.noteTold(now, 2.5, kLimits);
-  REQUIRE(engine.told(now, kLimits) == Approx(2.5));
-  REQUIRE(engine.told(now + fromMillis(200), kLimits) == Approx(1.75));
-  REQUIRE(engine.told(now + fromMillis(600), kLimits) < 1.2);
-  REQUIRE(engine.told(now + fromMillis(1300), kLimits) == 1);
-  engine.noteTold(now + fromMillis(100), 1, kLimits);
-  REQUIRE(engine.told(now + fromMillis(100), kLimits) == 1);
+  EngineSpeed engine;
+  REQUIRE(engine.reported(now, kLimits) == 1);
+  REQUIRE(engine.reportedAgeMs(now) == -1);
+  engine.noteReported(now, 2.5, kLimits);
+  REQUIRE(engine.reported(now, kLimits) == Approx(2.5));
+  REQUIRE(engine.reported(now + fromMillis(200), kLimits) == Approx(1.75));
+  REQUIRE(engine.reported(now + fromMillis(600), kLimits) < 1.2);
+  REQUIRE(engine.reported(now + fromMillis(1300), kLimits) == 1);
+  engine.noteReported(now + fromMillis(100), 1, kLimits);
+  REQUIRE(engine.reported(now + fromMillis(100), kLimits) == 1);
 }
 
 TEST_CASE("a new life of an engine has none of the speed of the one before", "[pace]") {
--- a/tests/request/admission/hot_tenant_replay.hpp
+++ b/tests/request/admission/hot_tenant_replay.hpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <vector>
 
-#include "request/admission/credit_ask.hpp"
+#include "request/admission/credit_request.hpp"
 #include "request/limits/rate_limit_account.hpp"
 #include "request/limits/rate_limit_owner.hpp"
 
@@ -60,7 +60,7 @@
   int used_after = 0;
   std::size_t most_in_window = 0;
   int questions = 0;
-  ReturnCounters returns;
+  RetryCounters returns;
 
   int served() const { return in_time + in_time_returned + late; }
   double unusedShare() const { return 1 - static_cast<double>(used_after) / credits_after; }
@@ -92,10 +92,10 @@
  private:
   struct Waiter {
     Caller caller;
-    CreditAsk ask;
+    CreditRequestEntry ask;
     int since_ms = 0;
     bool asked = false;
-    std::optional<CreditReply> reply;
+    std::optional<CreditDecision> reply;
     std::optional<int> held_until_ms;
     bool done = false;
   };
@@ -106,8 +106,8 @@
   };
   struct Message {
     std::size_t gateway = 0;
-    CreditQuestion question;
-    CreditAnswer answer;
+    CreditRequest question;
+    CreditResponse answer;
   };
 
   static constexpr int kWayMs = 1;
@@ -145,8 +145,10 @@
       return;
     }
     const int left = caller.deadline() - (now_ - caller.first_ms);
-    Waiter waiter{
-        caller, askOf(fromMillis(caller.objective()), fromMillis(left), fromMillis(left)), now_, false, {}, {}, false};
+    Waiter waiter{caller, creditRequestFor(fromMillis(caller.objective()), fromMillis(left), fromMillis(left)),
+                  now_,   false,
+                  {},     {},
+                  false};
     waiter.ask.content = caller.content;
     waiter.ask.rank = caller.is_urgent || !settings_.ordered ? 0 : 2;
     gateway.waiting.push_back(waiter);
@@ -157,7 +159,7 @@
     for (Waiter& waiter : gateway.waiting) {
       if (!waiter.asked && !waiter.reply && !waiter.done) unasked.push_back(&waiter);
     }
-    std::optional<CreditQuestion> question = gateway.account.nextQuestion(at(now_), unasked.size());
+    std::optional<CreditRequest> question = gateway.account.nextRequest(at(now_), unasked.size());
     if (!question) return;
     ++outcome_.questions;
     for (Waiter* waiter : unasked) {
@@ -177,14 +179,14 @@
     for (; !to_gateways_.empty() && to_gateways_.begin()->first <= now_; to_gateways_.erase(to_gateways_.begin())) {
       const Message& message = to_gateways_.begin()->second;
       Gateway& gateway = gateways_[message.gateway];
-      gateway.account.noteAnswer(at(now_), message.answer);
-      for (const CreditReply& reply : message.answer.replies) takeReply(gateway, reply);
-      if (message.answer.gives_appointments) continue;
+      gateway.account.noteResponse(at(now_), message.answer);
+      for (const CreditDecision& reply : message.answer.replies) takeReply(gateway, reply);
+      if (message.answer.supports_scheduled_retries) continue;
       for (Waiter& waiter : gateway.waiting) waiter.asked = false;
     }
   }
 
-  static void takeReply(Gateway& gateway, const CreditReply& reply) {
+  static void takeReply(Gateway& gateway, const CreditDecision& reply) {
     for (Waiter& waiter : gateway.waiting) {
       if (!waiter.asked || waiter.reply || waiter.ask.content != reply.content) continue;
       waiter.reply = reply;
@@ -211,13 +213,13 @@
     if (waiter.reply) return follow(gateway, waiter);
     if (!waiter.asked && gateway.account.tryTake(at(now_))) return finish(waiter, [&] { admit(waiter.caller); });
     if (gateway.account.isOverLimit(at(now_))) {
-      const Duration after = gateway.account.comeBackAfter(at(now_), limits_);
+      const Duration after = gateway.account.retryDelay(at(now_), limits_);
       return finish(waiter, [&] { refuse(waiter.caller, after); });
     }
   }
 
   void follow(Gateway& gateway, Waiter& waiter) {
-    const CreditReply reply = *waiter.reply;
+    const CreditDecision reply = *waiter.reply;
     if (reply.outcome == CreditOutcome::kGranted) {
       gateway.account.noteGranted(at(now_));
       return finish(waiter, [&] { admit(waiter.caller); });
--- a/tests/request/admission/load_wave_test.cpp
+++ b/tests/request/admission/load_forecaster_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/load_wave.hpp"
+#include "request/admission/load_forecaster.hpp"
 
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
@@ -20,7 +20,7 @@
 
 /// Plays a load from `from` on; `load(second)` is the count in flight.
 template <class Load>
-void play(LoadWave& wave, double from, double to, const Load& load) {
+void play(LoadForecaster& wave, double from, double to, const Load& load) {
   for (double second = from; second < to; second += toSeconds(kStep)) wave.note(at(second), load(second));
 }
 
@@ -32,7 +32,7 @@
 }  // namespace
 
 TEST_CASE("a wave of steps is found, and its next rise is expected when it comes", "[admission][wave]") {
-  LoadWave wave;
+  LoadForecaster wave;
   play(wave, 0, 20, steps);
   REQUIRE(wave.period().has_value());
   REQUIRE(std::abs(toMillis(*wave.period()) - 5800) <= 100);
@@ -51,7 +51,7 @@
 TEST_CASE("noise has no period, and may rise again as it did lately", "[admission][wave]") {
   std::mt19937_64 random(11);
   std::poisson_distribution<int> counts(200);
-  LoadWave wave;
+  LoadForecaster wave;
   play(wave, 0, 30, [&](double) { return counts(random); });
   REQUIRE_FALSE(wave.period().has_value());
   REQUIRE(wave.forecast().mostWithin(fromMillis(3000)) > 200);
@@ -59,14 +59,14 @@
 }
 
 TEST_CASE("a load that never rises fast is not expected to", "[admission][wave]") {
-  LoadWave wave;
+  LoadForecaster wave;
   play(wave, 0, 20, [](double second) { return 100 + 5 * second; });
   REQUIRE_FALSE(wave.period().has_value());
   REQUIRE(wave.forecast().mostWithin(fromMillis(1000)) <= wave.level() + 6);
 }
 
 TEST_CASE("a surge against what the period told takes it out of trust for a while", "[admission][wave]") {
-  LoadWave wave;
+  LoadForecaster wave;
   play(wave, 0, 23.6, steps);
   REQUIRE(wave.forecast().mostWithin(fromMillis(2000)) == 60);
   play(wave, 23.6, 23.8, [](double) { return 400; });
@@ -75,7 +75,7 @@
 }
 
 TEST_CASE("a wave is forgotten once it is over", "[admission][wave]") {
-  LoadWave wave;
+  LoadForecaster wave;
   play(wave, 0, 20, steps);
   play(wave, 20, 60, [](double) { return 60; });
   REQUIRE_FALSE(wave.period().has_value());
@@ -83,7 +83,7 @@
 }
 
 TEST_CASE("without any count nothing is expected", "[admission][wave]") {
-  const LoadWave wave;
+  const LoadForecaster wave;
   REQUIRE(wave.level() == 0);
   REQUIRE(wave.peak() == 0);
   REQUIRE_FALSE(wave.period().has_value());
@@ -93,7 +93,7 @@
 TEST_CASE("a forecast is never below what is in flight now, nor above the most that was kept", "[admission][wave]") {
   const bool holds = rc::check("bounds of a forecast", [] {
     const auto counts = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 500));
-    LoadWave wave;
+    LoadForecaster wave;
     double second = 0;
     for (const int count : counts) {
       second += 0.01 * *rc::gen::inRange(1, 30);
--- a/tests/request/admission/hold_budget_test.cpp
+++ b/tests/request/admission/pending_budget_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/hold_budget.hpp"
+#include "request/admission/pending_budget.hpp"
 
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace hatchfork::request {
 
 TEST_CASE("A hold budget refuses what is over its count or its bytes, and takes nothing then", "[hold_budget]") {
-  HoldBudget budget(2, 100);
+  PendingBudget budget(2, 100);
   CHECK(budget.tryEnter(60));
   CHECK_FALSE(budget.tryEnter(41));
   CHECK(budget.requests() == 1);
@@ -22,19 +22,19 @@
 }
 
 TEST_CASE("A hold budget takes a body that fills it, and none that is larger", "[hold_budget]") {
-  HoldBudget budget(2, 100);
+  PendingBudget budget(2, 100);
   CHECK_FALSE(budget.tryEnter(static_cast<std::size_t>(-1)));
   CHECK_FALSE(budget.tryEnter(101));
   CHECK(budget.tryEnter(100));
 }
 
 TEST_CASE("A held place is given back at the end of its scope, and only if it was taken", "[hold_budget]") {
-  HoldBudget budget(1, 100);
+  PendingBudget budget(1, 100);
   {
-    const HeldPlace first(budget, 10);
+    const PendingReservation first(budget, 10);
     CHECK(first.entered());
     {
-      const HeldPlace second(budget, 10);
+      const PendingReservation second(budget, 10);
       CHECK_FALSE(second.entered());
     }
     CHECK(budget.requests() == 1);
@@ -48,7 +48,7 @@
   const auto holds = [](const std::vector<std::uint16_t>& steps) {
     constexpr std::size_t kMostRequests = 5;
     constexpr std::size_t kMostBytes = 40'000;
-    HoldBudget budget(kMostRequests, kMostBytes);
+    PendingBudget budget(kMostRequests, kMostBytes);
     std::vector<std::size_t> held;
     for (const std::uint16_t step : steps) {
       if (step % 3 == 0 && !held.empty()) {
--- a/tests/request/admission/yield_choice_test.cpp
+++ b/tests/request/admission/preemption_choice_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/yield_choice.hpp"
+#include "request/admission/preemption_choice.hpp"
 
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
@@ -14,12 +14,12 @@
 constexpr Duration kWhole = std::chrono::seconds(5);
 constexpr Duration kNeeded = fromMillis(50);
 
-YieldCandidate candidate(std::uint64_t events, std::int64_t left_ms, std::int64_t due_ms, bool can_resume = true) {
-  return YieldCandidate{events, can_resume, DueItem{kNow + fromMillis(due_ms), fromMillis(left_ms)}};
+PreemptionCandidate candidate(std::uint64_t events, std::int64_t left_ms, std::int64_t due_ms, bool can_resume = true) {
+  return PreemptionCandidate{events, can_resume, DueItem{kNow + fromMillis(due_ms), fromMillis(left_ms)}};
 }
 
-std::optional<std::size_t> choose(const std::vector<YieldCandidate>& candidates) {
-  return chooseYield(kNow, candidates, kNeeded, kWhole);
+std::optional<std::size_t> choose(const std::vector<PreemptionCandidate>& candidates) {
+  return choosePreemption(kNow, candidates, kNeeded, kWhole);
 }
 
 }  // namespace
@@ -48,7 +48,7 @@
 
 TEST_CASE("what gives way hangs on no order, and never ends by itself in time", "[admission][yield]") {
   const bool holds = rc::check("choice of what gives way", [] {
-    std::vector<YieldCandidate> candidates;
+    std::vector<PreemptionCandidate> candidates;
     const int count = *rc::gen::inRange(1, 9);
     for (int i = 0; i < count; ++i) {
       candidates.push_back(
@@ -56,11 +56,11 @@
     }
     const auto chosen = choose(candidates);
     const bool any_long = std::any_of(candidates.begin(), candidates.end(),
-                                      [](const YieldCandidate& one) { return one.order.time_left > kNeeded; });
+                                      [](const PreemptionCandidate& one) { return one.order.time_left > kNeeded; });
     RC_ASSERT(chosen.has_value() == any_long);
     if (!chosen) return;
     RC_ASSERT(candidates[*chosen].order.time_left > kNeeded);
-    std::vector<YieldCandidate> reversed(candidates.rbegin(), candidates.rend());
+    std::vector<PreemptionCandidate> reversed(candidates.rbegin(), candidates.rend());
     const auto again = choose(reversed);
     RC_ASSERT(again.has_value());
     RC_ASSERT(reversed[*again].events == candidates[*chosen].events || reversed[*again].order.due > kNow);
--- a/tests/request/admission/return_schedule_property_test.cpp
+++ b/tests/request/admission/retry_schedule_property_test.cpp
@@ -55,7 +55,7 @@
   }
 
   void takeAhead(double credits) {
-    const CreditAnswer answer = owner_.answer(now_, kCrew, limits_, CreditQuestion{credits});
+    const CreditResponse answer = owner_.answer(now_, kCrew, limits_, CreditRequest{credits});
     note(answer.granted);
   }
 
@@ -75,16 +75,16 @@
   }
 
   void ask(std::uint64_t content, bool may_be_kept) {
-    CreditQuestion question{1};
+    CreditRequest question{1};
     question.arrivals = 1;
     question.asks = {{content, 0, fromMillis(150), fromMillis(1000), fromMillis(1600)}};
-    const CreditAnswer answer = owner_.answer(now_, kCrew, limits_, question);
+    const CreditResponse answer = owner_.answer(now_, kCrew, limits_, question);
     note(answer.granted);
-    const CreditReply& reply = answer.replies.at(0);
+    const CreditDecision& reply = answer.replies.at(0);
     const bool was_kept = promised_.erase(content) > 0;
     if (reply.outcome == CreditOutcome::kGranted) return note(1);
     if (may_be_kept && was_kept) broke_promise_ = true;
-    const bool is_kept = reply.outcome == CreditOutcome::kReturn || reply.outcome == CreditOutcome::kWait;
+    const bool is_kept = reply.outcome == CreditOutcome::kRetryReserved || reply.outcome == CreditOutcome::kWait;
     if (is_kept) promised_.insert(content);
     const bool comes = reply.outcome != CreditOutcome::kRefused && *rc::gen::inRange(0, 10) != 0;
     if (comes) coming_.emplace(now_ + reply.after, content);
--- a/tests/request/admission/return_schedule_test.cpp
+++ b/tests/request/admission/retry_schedule_test.cpp
@@ -1,9 +1,9 @@
-#include "request/admission/return_schedule.hpp"
+#include "request/admission/retry_schedule.hpp"
 
 #include <catch2/catch.hpp>
 
 #include "process/fleet/limit_messages.hpp"
-#include "request/admission/credit_ask.hpp"
+#include "request/admission/credit_request.hpp"
 #include "request/limits/rate_limit_owner.hpp"
 
 using namespace hatchfork;
@@ -18,12 +18,12 @@
   return Instant(std::chrono::seconds(100) + fromMillis(milliseconds));
 }
 
-CreditAsk askFor(std::uint64_t content) {
+CreditRequestEntry askFor(std::uint64_t content) {
   return {content, 0, fromMillis(150), fromMillis(2500), fromMillis(1600)};
 }
 
 /// Fresh requests take `rate` a second until `until`.
-void press(ReturnSchedule& schedule, double rate, std::int64_t until) {
+void press(RetrySchedule& schedule, double rate, std::int64_t until) {
   for (std::int64_t time = 0; time < until; time += 10) schedule.noteArrivals(at(time), rate / 100);
 }
 
@@ -40,8 +40,8 @@
   return options;
 }
 
-CreditQuestion questionOf(std::vector<CreditAsk> asks) {
-  CreditQuestion question{static_cast<double>(asks.size())};
+CreditRequest questionOf(std::vector<CreditRequestEntry> asks) {
+  CreditRequest question{static_cast<double>(asks.size())};
   question.arrivals = static_cast<double>(asks.size());
   question.asks = std::move(asks);
   return question;
@@ -50,10 +50,10 @@
 }  // namespace
 
 TEST_CASE("a caller that is sent away finds the credit that was kept for it", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   press(schedule, 1000, 1000);
-  const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
-  REQUIRE(sent.outcome == CreditOutcome::kReturn);
+  const CreditDecision sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
+  REQUIRE(sent.outcome == CreditOutcome::kRetryReserved);
   REQUIRE(sent.after <= fromMillis(1600));
   const Instant due = at(1000) + sent.after;
   // From then on no other request may touch it.
@@ -65,34 +65,34 @@
 }
 
 TEST_CASE("a promise is used once", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   press(schedule, 1000, 1000);
-  const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
+  const CreditDecision sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
   const Instant due = at(1000) + sent.after;
   REQUIRE(schedule.judge(due, askFor(1), kRate, kCapacity, 1).outcome == CreditOutcome::kGranted);
   REQUIRE(schedule.judge(due, askFor(1), kRate, kCapacity, 0).outcome != CreditOutcome::kGranted);
 }
 
 TEST_CASE("a credit that nobody fetches falls to the others", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   press(schedule, 1000, 1000);
-  const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
-  const Instant later = at(1000) + sent.after + ReturnScheduleLimits{}.kept_for + fromMillis(1);
+  const CreditDecision sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
+  const Instant later = at(1000) + sent.after + RetryScheduleLimits{}.kept_for + fromMillis(1);
   REQUIRE(schedule.kept(later, kRate, kCapacity) == 0);
   REQUIRE(schedule.counters().lapsed == 1);
   REQUIRE(schedule.judge(later, askFor(2), kRate, kCapacity, 1).outcome == CreditOutcome::kGranted);
 }
 
 TEST_CASE("a caller that comes early waits for its time and keeps its place", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   press(schedule, 1000, 1000);
-  CreditReply sent;
+  CreditDecision sent;
   for (std::uint64_t content = 1; content < 6; ++content) {
     sent = schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
   }
-  REQUIRE(sent.outcome == CreditOutcome::kReturn);
+  REQUIRE(sent.outcome == CreditOutcome::kRetryReserved);
   const Instant due = at(1000) + sent.after;
-  const CreditReply early = schedule.judge(due - fromMillis(200), askFor(5), kRate, kCapacity, 5);
+  const CreditDecision early = schedule.judge(due - fromMillis(200), askFor(5), kRate, kCapacity, 5);
   REQUIRE(early.outcome == CreditOutcome::kWait);
   REQUIRE(early.after == fromMillis(200));
   REQUIRE(schedule.judge(due, askFor(5), kRate, kCapacity, 5).outcome == CreditOutcome::kGranted);
@@ -102,14 +102,14 @@
     "while fresh requests take all, the others are told the latest time that they can use, and only a floor is "
     "promised",
     "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   press(schedule, 1000, 1000);
   int promised = 0;
   int unkept = 0;
   for (std::uint64_t content = 1; content <= 100; ++content) {
-    const CreditReply reply = schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
-    if (reply.outcome == CreditOutcome::kReturn) ++promised;
-    if (reply.outcome != CreditOutcome::kReturnUnkept) continue;
+    const CreditDecision reply = schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
+    if (reply.outcome == CreditOutcome::kRetryReserved) ++promised;
+    if (reply.outcome != CreditOutcome::kRetryUnreserved) continue;
     ++unkept;
     REQUIRE(reply.after == fromMillis(1600));
   }
@@ -119,7 +119,7 @@
 }
 
 TEST_CASE("one that comes back takes nothing from fresh requests, and is told at once", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   press(schedule, 1000, 1000);
   for (std::uint64_t content = 1; content <= 20; ++content)
     schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
@@ -130,13 +130,13 @@
 
 TEST_CASE("after the surge those who come back are served, and who finds no credit waits for a late answer in order",
           "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   press(schedule, 1000, 1000);
   for (std::uint64_t content = 1; content <= 20; ++content)
     schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
   REQUIRE(schedule.judge(at(2600), askFor(18), kRate, kCapacity, 9).outcome == CreditOutcome::kGranted);
-  const CreditReply first = schedule.judge(at(2600), askFor(19), kRate, kCapacity, 0);
-  const CreditReply second = schedule.judge(at(2600), askFor(20), kRate, kCapacity, 0);
+  const CreditDecision first = schedule.judge(at(2600), askFor(19), kRate, kCapacity, 0);
+  const CreditDecision second = schedule.judge(at(2600), askFor(20), kRate, kCapacity, 0);
   REQUIRE(first.outcome == CreditOutcome::kWait);
   REQUIRE(second.outcome == CreditOutcome::kWait);
   REQUIRE(second.after > first.after);
@@ -144,19 +144,19 @@
 }
 
 TEST_CASE("a limit that was lowered moves a promise, and does not break the limit", "[admission][returns]") {
-  ReturnSchedule schedule;
+  RetrySchedule schedule;
   press(schedule, 1000, 1000);
-  const CreditReply sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
+  const CreditDecision sent = schedule.judge(at(1000), askFor(1), kRate, kCapacity, 0);
   const Instant due = at(1000) + sent.after;
-  const CreditReply moved = schedule.judge(due, askFor(1), 2, 2, 0.5);
+  const CreditDecision moved = schedule.judge(due, askFor(1), 2, 2, 0.5);
   REQUIRE(moved.outcome == CreditOutcome::kWait);
   REQUIRE(moved.after == fromMillis(250));
 }
 
 TEST_CASE("what is expected is bounded", "[admission][returns]") {
-  ReturnScheduleLimits limits;
+  RetryScheduleLimits limits;
   limits.most_expected = 50;
-  ReturnSchedule schedule(limits);
+  RetrySchedule schedule(limits);
   press(schedule, 1000, 1000);
   for (std::uint64_t content = 1; content <= 500; ++content)
     schedule.judge(at(1000), askFor(content), kRate, kCapacity, 0);
@@ -167,14 +167,14 @@
   RateLimitOwner owner(withAppointments());
   const TenantId crew("crew");
   owner.noteTakeover(at(0));
-  std::vector<CreditAsk> asks;
+  std::vector<CreditRequestEntry> asks;
   for (std::uint64_t content = 1; content <= 60; ++content) asks.push_back(askFor(content));
-  const CreditAnswer answer = owner.answer(at(10), crew, limitOf(kRate, kRate), questionOf(asks));
+  const CreditResponse answer = owner.answer(at(10), crew, limitOf(kRate, kRate), questionOf(asks));
   int granted = 0;
   int promised = 0;
-  for (const CreditReply& reply : answer.replies) {
+  for (const CreditDecision& reply : answer.replies) {
     if (reply.outcome == CreditOutcome::kGranted) ++granted;
-    if (reply.outcome == CreditOutcome::kReturn || reply.outcome == CreditOutcome::kWait) ++promised;
+    if (reply.outcome == CreditOutcome::kRetryReserved || reply.outcome == CreditOutcome::kWait) ++promised;
   }
   // A fifth of a second's credits to begin with, and a twentieth of the limit over 1.6 s.
   REQUIRE(granted == 20);
@@ -185,13 +185,13 @@
   RateLimitOwner owner(withAppointments());
   const TenantId crew("crew");
   const TenantLimits limits = limitOf(kRate, 10);
-  owner.answer(at(0), crew, limits, CreditQuestion{10});
-  std::vector<CreditAsk> asks;
+  owner.answer(at(0), crew, limits, CreditRequest{10});
+  std::vector<CreditRequestEntry> asks;
   for (std::uint64_t content = 1; content <= 5; ++content) asks.push_back(askFor(content));
-  const CreditAnswer told = owner.answer(at(0), crew, limits, questionOf(asks));
+  const CreditResponse told = owner.answer(at(0), crew, limits, questionOf(asks));
   REQUIRE(told.replies.size() == 5);
   REQUIRE(owner.promised() == 5);
-  const CreditAnswer old = owner.answer(at(200), crew, limits, CreditQuestion{100});
+  const CreditResponse old = owner.answer(at(200), crew, limits, CreditRequest{100});
   REQUIRE(old.granted >= 4);
   REQUIRE(old.granted <= 9);
 }
@@ -210,42 +210,42 @@
   fleet::CreditAnswerFrame answer{TenantId("crew"), true, {}};
   answer.answer.granted = 2;
   answer.answer.wait = fromMillis(7);
-  answer.answer.gives_appointments = true;
-  answer.answer.is_tight = true;
-  answer.answer.replies = {{0xfedcba9876543210ULL, CreditOutcome::kReturn, fromMillis(900)}};
+  answer.answer.supports_scheduled_retries = true;
+  answer.answer.is_scarce = true;
+  answer.answer.replies = {{0xfedcba9876543210ULL, CreditOutcome::kRetryReserved, fromMillis(900)}};
   const nlohmann::json told = answer;
   const auto read = told.get<fleet::CreditAnswerFrame>();
-  REQUIRE(read.answer.gives_appointments);
-  REQUIRE(read.answer.is_tight);
+  REQUIRE(read.answer.supports_scheduled_retries);
+  REQUIRE(read.answer.is_scarce);
   REQUIRE(read.answer.replies == answer.answer.replies);
   REQUIRE(told.at(5) == 7000);
   const nlohmann::json old_answer = nlohmann::json::parse(R"(["crew",true,2.0,40.0,0.5,7000])");
-  REQUIRE_FALSE(old_answer.get<fleet::CreditAnswerFrame>().answer.gives_appointments);
+  REQUIRE_FALSE(old_answer.get<fleet::CreditAnswerFrame>().answer.supports_scheduled_retries);
   const nlohmann::json later = nlohmann::json::parse(R"(["crew",true,2.0,40.0,0.5,7000,true,[[5,9,1000]],"more"])");
   REQUIRE(later.get<fleet::CreditAnswerFrame>().answer.replies.at(0).outcome == CreditOutcome::kRefused);
 }
 
 TEST_CASE("a request is told no time that it can't use", "[admission][returns]") {
-  const CreditAsk fresh = askOf(fromMillis(300), fromMillis(5000), fromMillis(5000));
-  REQUIRE(fresh.in_time == fromMillis(150));
-  REQUIRE(fresh.at_all == fromMillis(2500));
+  const CreditRequestEntry fresh = creditRequestFor(fromMillis(300), fromMillis(5000), fromMillis(5000));
+  REQUIRE(fresh.max_timely_wait == fromMillis(150));
+  REQUIRE(fresh.max_useful_wait == fromMillis(2500));
   REQUIRE(fresh.away < fromMillis(1667));
   REQUIRE(fresh.away > fromMillis(1600));
-  const CreditAsk hurried = askOf(fromMillis(300), fromMillis(100), fromMillis(100));
-  REQUIRE(hurried.in_time <= fromMillis(50));
-  const CreditAsk over = askOf(fromMillis(300), fromMillis(-5), fromMillis(-5));
+  const CreditRequestEntry hurried = creditRequestFor(fromMillis(300), fromMillis(100), fromMillis(100));
+  REQUIRE(hurried.max_timely_wait <= fromMillis(50));
+  const CreditRequestEntry over = creditRequestFor(fromMillis(300), fromMillis(-5), fromMillis(-5));
   REQUIRE(over.away == Duration::zero());
 }
 
 TEST_CASE("the same content bears the same number, and each part of it counts", "[admission][returns]") {
   const RequestContent content{"crew", "POST", "a.example", "/x/1", "body"};
   RequestContent other = content;
-  REQUIRE(contentNumber(content) == contentNumber(other));
+  REQUIRE(contentHash(content) == contentHash(other));
   other.body = "bodz";
-  REQUIRE(contentNumber(content) != contentNumber(other));
+  REQUIRE(contentHash(content) != contentHash(other));
   // Where a part ends counts as well.
   other = content;
   other.host = "a.example/";
   other.target = "x/1";
-  REQUIRE(contentNumber(content) != contentNumber(other));
+  REQUIRE(contentHash(content) != contentHash(other));
 }
--- a/tests/request/admission/start_hold_test.cpp
+++ b/tests/request/admission/startup_admission_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/start_hold.hpp"
+#include "request/admission/startup_admission.hpp"
 
 #include <rapidcheck.h>
 
@@ -9,7 +9,7 @@
 #include <random>
 #include <vector>
 
-#include "request/admission/hold_budget.hpp"
+#include "request/admission/pending_budget.hpp"
 
 namespace hatchfork::request {
 namespace {
@@ -30,12 +30,12 @@
 
 /// Requests come to one gateway from its start on, one after the other; the configuration is in force
 /// `configured_after` its start, or never. Returns those that came before it was.
-std::vector<Replayed> replayGateway(std::uint64_t seed, std::optional<Duration> configured_after, HoldBudget& budget,
+std::vector<Replayed> replayGateway(std::uint64_t seed, std::optional<Duration> configured_after, PendingBudget& budget,
                                     std::size_t& most_held) {
   const Instant started_at{std::chrono::seconds(10)};
   std::mt19937_64 random(seed);
   std::exponential_distribution<double> gap(kArrivalsPerSecond);
-  StartHold hold(started_at, seed);
+  StartupAdmission hold(started_at, seed);
   const Instant in_force = configured_after ? started_at + *configured_after : Instant::max();
   std::vector<Replayed> requests;
   std::vector<Instant> leaving;
@@ -48,7 +48,7 @@
       budget.leave(1000);
       return true;
     });
-    const StartDecision decision = hold.decide(now, EarlyArrival{now, kCallerWaits});
+    const StartupDecision decision = hold.decide(now, EarlyArrival{now, kCallerWaits});
     Replayed request{now, false, now, decision.come_back_after};
     if (decision.until && budget.tryEnter(1000)) {
       request.ended_at = std::min(*decision.until, in_force);
@@ -72,7 +72,7 @@
 Replay replayFleet(std::optional<Duration> configured_after) {
   Replay replay;
   for (std::size_t gateway = 1; gateway <= kGateways; ++gateway) {
-    HoldBudget budget(64, 1 << 20);
+    PendingBudget budget(64, 1 << 20);
     for (const Replayed& request : replayGateway(gateway, configured_after, budget, replay.most_held)) {
       ++replay.requests;
       if (request.served) ++replay.served;
@@ -108,7 +108,7 @@
   REQUIRE(replay.requests > 4000);
   CHECK(replay.served == 0);
   CHECK(replay.longest_wait <= fromMillis(400));
-  StartHold hold(Instant{}, 1);
+  StartupAdmission hold(Instant{}, 1);
   const Instant late{fromMillis(700)};
   CHECK_FALSE(hold.decide(late, EarlyArrival{late, std::nullopt}).until);
   // No hundred milliseconds take more than a fair part of the returns.
@@ -122,8 +122,8 @@
   const auto holds = [](std::uint16_t after_start, std::uint16_t remaining) {
     const Instant started_at{std::chrono::seconds(10)};
     const Instant now = started_at + fromMillis(after_start % 2000);
-    StartHold hold(started_at, after_start + 1);
-    const StartDecision decision = hold.decide(now, EarlyArrival{now, fromMillis(remaining)});
+    StartupAdmission hold(started_at, after_start + 1);
+    const StartupDecision decision = hold.decide(now, EarlyArrival{now, fromMillis(remaining)});
     if (decision.until) {
       RC_ASSERT(*decision.until > now);
       RC_ASSERT(*decision.until - now <= fromMillis(remaining) / 2);
--- a/tests/request/admission/batch_trough_test.cpp
+++ b/tests/request/admission/trough_scheduler_test.cpp
@@ -1,4 +1,4 @@
-#include "request/admission/batch_trough.hpp"
+#include "request/admission/trough_scheduler.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -7,7 +7,7 @@
 #include <deque>
 #include <random>
 
-#include "request/admission/yield_choice.hpp"
+#include "request/admission/preemption_choice.hpp"
 
 using namespace hatchfork;
 using namespace hatchfork::request;
@@ -60,7 +60,7 @@
     for (double second = 0; second < site_.length + 20; second += step) {
       const Instant now = at(second);
       if (second >= site_.forgets_at) {
-        trough_ = BatchTrough();
+        trough_ = TroughScheduler();
         site_.forgets_at = 1e9;
       }
       for (auto& [zone, state] : zones_) std::erase_if(state.online, [now](Instant end) { return end <= now; });
@@ -137,13 +137,13 @@
   }
 
   void giveWay(Instant now, Zone& zone) {
-    std::vector<YieldCandidate> candidates;
+    std::vector<PreemptionCandidate> candidates;
     for (const Run& run : zone.runs) {
       Item item = run.item;
       item.events = eventsOf(run, now);
       candidates.push_back({item.events, true, {item.due, expected(item)}});
     }
-    const auto chosen = chooseYield(now, candidates, fromMillis(10), fromMillis(5000));
+    const auto chosen = choosePreemption(now, candidates, fromMillis(10), fromMillis(5000));
     if (!chosen) return;
     Run run = zone.runs[*chosen];
     zone.runs.erase(zone.runs.begin() + static_cast<std::ptrdiff_t>(*chosen));
@@ -166,7 +166,7 @@
       }
     }
     std::stable_sort(waiting_.begin(), waiting_.end(), [&](const Item& left, const Item& right) {
-      return goesBefore(now, {left.due, expected(left)}, {right.due, expected(right)});
+      return precedes(now, {left.due, expected(left)}, {right.due, expected(right)});
     });
     std::vector<WaitingItem> waiting;
     for (const Item& item : waiting_) waiting.push_back({kService, {item.due, expected(item)}});
@@ -208,7 +208,7 @@
   std::mt19937_64 random_;
   std::map<ZoneId, Zone> zones_;
   std::deque<Item> waiting_;
-  BatchTrough trough_;
+  TroughScheduler trough_;
   Played played_;
 };
 
@@ -271,7 +271,7 @@
 }
 
 TEST_CASE("a run begins where its place stays free to its end", "[admission][trough]") {
-  BatchTrough trough;
+  TroughScheduler trough;
   for (double second = 0; second < 20; second += 0.05) {
     // 2.6 s into the trough at 20 s; zone "b" has no wave.
     trough.noteLoad(at(second), kService, {{kZoneA, {100, 80 * waveAt(second) / 2}}, {kZoneB, {100, 95}}});
@@ -294,7 +294,7 @@
 }
 
 TEST_CASE("less slack keeps less free for the wave, down to nothing", "[admission][trough]") {
-  BatchTrough trough;
+  TroughScheduler trough;
   for (double second = 0; second < 20; second += 0.05) {
     trough.noteLoad(at(second), kService, {{kZoneA, {100, 100 * waveAt(second) / 2}}});
   }
@@ -303,7 +303,7 @@
     const auto pressing = trough.plan(at(20), {}, {{kService, {at(20 + seconds), whole}}}, whole);
     return trough.judge(kService, whole, pressing.front(), std::nullopt).room;
   };
-  REQUIRE(trough.lastingPlaces(kService, whole) < 10);
+  REQUIRE(trough.lastingSlots(kService, whole) < 10);
   const double relaxed = roomWhenDueIn(18);
   const double less = roomWhenDueIn(8);
   const double none = roomWhenDueIn(6);
@@ -314,7 +314,7 @@
   std::vector<WaitingItem> heap(200, WaitingItem{kService, {at(38), whole}});
   trough.plan(at(20), {}, heap, whole);
   REQUIRE(trough.urgency(kService) == 1);
-  REQUIRE(trough.isShort(kService));
+  REQUIRE(trough.isRoomShort(kService));
   // One that presses, and is before the others, presses none of them.
   const auto pressing = trough.plan(at(20), {}, {{kService, {at(24), whole}}, {kService, {at(38), whole}}}, whole);
   REQUIRE(pressing[0] == 1);
@@ -322,7 +322,7 @@
 }
 
 TEST_CASE("where no load is known nothing is said", "[admission][trough]") {
-  const BatchTrough trough;
+  const TroughScheduler trough;
   REQUIRE_FALSE(trough.knows(kService));
   REQUIRE(trough.urgency(kService) == 1);
   REQUIRE_FALSE(trough.judge(kService, fromMillis(400), 0, std::nullopt).begins);
--- a/tests/request/batch/lease_demand_test.cpp
+++ b/tests/request/batch/lease_demand_test.cpp
@@ -24,7 +24,7 @@
 }
 
 TEST_CASE("ready items that cannot be placed for long are given back", "[lease_demand]") {
-  StrandedItems stranded;
+  StrandedItemDetector stranded;
   CHECK_FALSE(stranded.update(kStart, loadOf(0, 0, 3)));
   CHECK_FALSE(stranded.update(kStart + fromMillis(4900), loadOf(0, 0, 3)));
   CHECK(stranded.update(kStart + fromMillis(5000), loadOf(0, 0, 3)));
@@ -32,7 +32,7 @@
 }
 
 TEST_CASE("a burst of online work does not strand items", "[lease_demand]") {
-  StrandedItems stranded;
+  StrandedItemDetector stranded;
   CHECK_FALSE(stranded.update(kStart, loadOf(0, 0, 3)));
   CHECK_FALSE(stranded.update(kStart + fromMillis(3000), loadOf(1, 0, 3)));
   CHECK_FALSE(stranded.update(kStart + fromMillis(6000), loadOf(0, 0, 3)));
--- a/tests/request/batch/lease_pacer_test.cpp
+++ b/tests/request/batch/lease_pacer_test.cpp
@@ -41,7 +41,7 @@
   pacer.recordSent(at(0), true);
   pacer.recordReply(at(5), false);
   CHECK_FALSE(pacer.isDue(at(10), true, false));
-  pacer.askAtOnce();
+  pacer.requestImmediately();
   CHECK(pacer.isDue(at(10), true, false));
 }
 
--- a/tests/request/batch/run_time_model_test.cpp
+++ b/tests/request/batch/run_time_model_test.cpp
@@ -16,7 +16,7 @@
   RunTimeModel model;
   for (int i = 0; i < 60; ++i) {
     model.notePace(events, taken);
-    model.noteWhole(events);
+    model.noteCompletedItem(events);
   }
   return model;
 }
@@ -25,41 +25,41 @@
 
 TEST_CASE("a guess stands for run times until one is known", "[batch][due]") {
   RunTimeModel model;
-  REQUIRE(model.wholeTime() == Duration::zero());
-  model.setGuess(std::chrono::seconds(5));
-  REQUIRE(model.timeLeft(100) == std::chrono::seconds(5));
+  REQUIRE(model.totalRunTime() == Duration::zero());
+  model.setInitialEstimate(std::chrono::seconds(5));
+  REQUIRE(model.remainingTime(100) == std::chrono::seconds(5));
   model.notePace(100, std::chrono::seconds(2));
-  REQUIRE(model.wholeTime() == std::chrono::seconds(5));
-  model.noteWhole(200);
-  REQUIRE(toSeconds(model.wholeTime()) == Approx(4.1));
+  REQUIRE(model.totalRunTime() == std::chrono::seconds(5));
+  model.noteCompletedItem(200);
+  REQUIRE(toSeconds(model.totalRunTime()) == Approx(4.1));
 }
 
 TEST_CASE("run times come close to what is seen and follow when it changes", "[batch][due]") {
   RunTimeModel model = learned(200, std::chrono::seconds(4));
-  REQUIRE(toSeconds(model.wholeTime()) == Approx(4.1).epsilon(0.01));
-  REQUIRE(toSeconds(model.timeLeft(100)) == Approx(2.1).epsilon(0.01));
+  REQUIRE(toSeconds(model.totalRunTime()) == Approx(4.1).epsilon(0.01));
+  REQUIRE(toSeconds(model.remainingTime(100)) == Approx(2.1).epsilon(0.01));
   // An item that is longer than most still needs something.
-  REQUIRE(toSeconds(model.timeLeft(500)) == Approx(0.7).epsilon(0.01));
+  REQUIRE(toSeconds(model.remainingTime(500)) == Approx(0.7).epsilon(0.01));
   for (int i = 0; i < 60; ++i) model.notePace(200, std::chrono::seconds(8));
-  REQUIRE(toSeconds(model.wholeTime()) == Approx(8.1).epsilon(0.02));
+  REQUIRE(toSeconds(model.totalRunTime()) == Approx(8.1).epsilon(0.02));
 }
 
 TEST_CASE("the order of items: in time before late, then by due time", "[batch][due]") {
   const DueItem early{kNow + std::chrono::seconds(5), std::chrono::seconds(4)};
   const DueItem later{kNow + std::chrono::seconds(9), std::chrono::seconds(4)};
   const DueItem hopeless{kNow + fromMillis(1900), std::chrono::seconds(4)};
-  REQUIRE(goesBefore(kNow, early, later));
-  REQUIRE(goesBefore(kNow, later, hopeless));
-  REQUIRE_FALSE(goesBefore(kNow, hopeless, early));
+  REQUIRE(precedes(kNow, early, later));
+  REQUIRE(precedes(kNow, later, hopeless));
+  REQUIRE_FALSE(precedes(kNow, hopeless, early));
   // Of two that are due alike, the one that is nearly done.
   const DueItem nearly_done{kNow + std::chrono::seconds(9), std::chrono::seconds(1)};
-  REQUIRE(goesBefore(kNow, nearly_done, later));
+  REQUIRE(precedes(kNow, nearly_done, later));
   const DueItem without_due{Instant::max(), std::chrono::seconds(1)};
-  REQUIRE(goesBefore(kNow, later, without_due));
-  REQUIRE_FALSE(goesBefore(kNow, without_due, without_due));
+  REQUIRE(precedes(kNow, later, without_due));
+  REQUIRE_FALSE(precedes(kNow, without_due, without_due));
   // It may be shorter than most: it is not given up on before half of the expected time.
   const DueItem doubtful{kNow + fromMillis(2100), std::chrono::seconds(4)};
-  REQUIRE(goesBefore(kNow, doubtful, early));
+  REQUIRE(precedes(kNow, doubtful, early));
 }
 
 TEST_CASE("the order of items is strict and leaves none out", "[batch][due]") {
@@ -70,11 +70,11 @@
     const DueItem a = item();
     const DueItem b = item();
     const DueItem c = item();
-    RC_ASSERT(!goesBefore(kNow, a, a));
-    RC_ASSERT(!(goesBefore(kNow, a, b) && goesBefore(kNow, b, a)));
-    if (goesBefore(kNow, a, b) && goesBefore(kNow, b, c)) RC_ASSERT(goesBefore(kNow, a, c));
+    RC_ASSERT(!precedes(kNow, a, a));
+    RC_ASSERT(!(precedes(kNow, a, b) && precedes(kNow, b, a)));
+    if (precedes(kNow, a, b) && precedes(kNow, b, c)) RC_ASSERT(precedes(kNow, a, c));
     // An item that can be in time never waits behind one that can't.
-    if (!isHopeless(kNow, a) && isHopeless(kNow, b)) RC_ASSERT(goesBefore(kNow, a, b));
+    if (!cannotFinishInTime(kNow, a) && cannotFinishInTime(kNow, b)) RC_ASSERT(precedes(kNow, a, b));
   });
   REQUIRE(ordered);
 }
--- a/tests/request/crash/crash_ledger_test.cpp
+++ b/tests/request/crash/crash_ledger_test.cpp
@@ -54,7 +54,7 @@
 TEST_CASE("a whole answer clears a request of all earlier ends", "[crash]") {
   CrashLedger ledger;
   for (int number = 1; number <= 3; ++number) ledger.noteCrash(at(100 * number), kRan, content("i"), engine(number));
-  REQUIRE(ledger.noteInnocent(at(500), content("i")));
+  REQUIRE(ledger.noteCompleteAnswer(at(500), content("i")));
   REQUIRE_FALSE(ledger.judge(content("i")).isSuspect());
   // An old record that comes late changes nothing.
   REQUIRE_FALSE(ledger.noteCrash(at(4), kRan, content("i"), engine(4)));
@@ -145,7 +145,7 @@
       for (int name = 0; name < 4; ++name) ledger.noteCrash(at(-1000), kRan, content(std::to_string(name)), engine(99));
       for (const Event& event : played) {
         if (event.is_innocent) {
-          ledger.noteInnocent(at(event.at_ms), content(std::to_string(event.content)));
+          ledger.noteCompleteAnswer(at(event.at_ms), content(std::to_string(event.content)));
         } else {
           ledger.noteCrash(at(event.at_ms), kRan, content(std::to_string(event.content)), engine(event.engine));
         }
