--- a/tests/request/exchange/arrival_gate_test.cpp
+++ b/tests/request/exchange/arrival_gate_test.cpp
@@ -45,14 +45,14 @@
   Duration least = std::chrono::seconds(9);
   Duration most{};
   for (int i = 0; i < 200; ++i) {
-    const Duration come_back = gate.comeBackAfter(fromMillis(400));
+    const Duration come_back = gate.retryAfter(fromMillis(400));
     least = std::min(least, come_back);
     most = std::max(most, come_back);
   }
   REQUIRE(least >= fromMillis(300));
   REQUIRE(most <= fromMillis(1500));
   REQUIRE(most - least > fromMillis(500));
-  REQUIRE(gate.comeBackAfter(Duration::zero()) == fromMillis(300));
+  REQUIRE(gate.retryAfter(Duration::zero()) == fromMillis(300));
 }
 
 TEST_CASE("no request is rejected early while an engine has a free slot", "[gate][selector]") {
--- a/tests/request/exchange/load_board_test.cpp
+++ b/tests/request/exchange/load_table_test.cpp
@@ -1,4 +1,4 @@
-#include "request/exchange/load_board.hpp"
+#include "request/exchange/load_table.hpp"
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -16,7 +16,7 @@
 }  // namespace
 
 TEST_CASE("the board adds up what all have in flight, by their last reports", "[board]") {
-  LoadBoard board;
+  LoadTable board;
   board.report(kStart, "g1", {share("a", 3, 100), share("b", 1, 0)});
   board.report(kStart, "g2", {share("a", 2, 50)});
   board.report(kStart, "g1", {share("a", 4, 10)});
@@ -26,7 +26,7 @@
 }
 
 TEST_CASE("the word of one process against an engine reaches the others", "[board]") {
-  LoadBoard board;
+  LoadTable board;
   EngineShare against = share("a", 1, 0);
   against.avoid_ms = 250;
   board.report(kStart, "g1", {against});
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE("a process that reports no more counts no more", "[board]") {
-  LoadBoard board;
+  LoadTable board;
   board.report(kStart, "g1", {share("a", 3, 100)});
   board.report(kStart + fromMillis(900), "g2", {share("a", 2, 50)});
   board.expire(kStart + fromMillis(1500));
@@ -47,7 +47,7 @@
 
 TEST_CASE("sums stay right over many reports that replace each other", "[board]") {
   std::mt19937_64 random(7);
-  LoadBoard board;
+  LoadTable board;
   std::map<std::string, std::vector<EngineShare>> latest;
   for (int step = 0; step < 2000; ++step) {
     const std::string process = "g" + std::to_string(random() % 9);
--- a/tests/request/limits/rate_limit_property_test.cpp
+++ b/tests/request/limits/rate_limit_property_test.cpp
@@ -26,17 +26,17 @@
     RateLimitAccount& account = accounts_[gateway % accounts_.size()];
     account.noteArrival(now_);
     if (account.tryTake(now_)) return admit();
-    const auto question = account.nextQuestion(now_, 1);
-    if (!question) {
-      if (account.isCutOff(now_) && account.tryTakeOwnPart(now_)) admit();
+    const auto credit_request = account.nextRequest(now_, 1);
+    if (!credit_request) {
+      if (account.isOwnerUnreachable(now_) && account.tryTakeLocalShare(now_)) admit();
       return;
     }
     if (owner_lost_) {
-      account.noteNoAnswer(now_, limits_);
-      if (account.tryTakeOwnPart(now_)) admit();
+      account.noteNoResponse(now_, limits_);
+      if (account.tryTakeLocalShare(now_)) admit();
       return;
     }
-    account.noteAnswer(now_, owner_.answer(now_, kCrew, limits_, *question));
+    account.noteResponse(now_, owner_.answer(now_, kCrew, limits_, *credit_request));
     if (account.tryTake(now_)) admit();
   }
 
