--- a/src/request/batch/due_order.cpp
+++ b/src/request/batch/due_order.cpp
@@ -21,9 +21,9 @@
 }
 
 bool precedes(Instant now, const DueItem& left, const DueItem& right) {
-  const bool left_hopeless = cannotFinishInTime(now, left);
-  const bool right_hopeless = cannotFinishInTime(now, right);
-  if (left_hopeless != right_hopeless) return right_hopeless;
+  const bool left_too_late = cannotFinishInTime(now, left);
+  const bool right_too_late = cannotFinishInTime(now, right);
+  if (left_too_late != right_too_late) return right_too_late;
   // Without a due time, `due` is the largest instant, and adding to it would overflow.
   if (left.due == Instant::max() || right.due == Instant::max()) return left.due < right.due;
   return left.due + left.time_left < right.due + right.time_left;
--- a/src/request/limits/rate_credit.hpp
+++ b/src/request/limits/rate_credit.hpp
@@ -27,7 +27,7 @@
   Duration creditLifetime() const { return window / 10; }
 };
 
-/// A pending request that waits at a gateway for a credit, as described to the owner of the limit.
+/// Entry of a `CreditRequest` for one request that waits at a gateway for a credit.
 struct CreditRequestEntry {
   /// Hash of caller and content: equal for all attempts of one caller with the same content, at any gateway.
   std::uint64_t content = 0;
@@ -56,7 +56,7 @@
   kRetryUnreserved = 4,
 };
 
-/// Reply of the owner to one `CreditRequestEntry`.
+/// Decision of the owner on one `CreditRequestEntry`.
 struct CreditDecision {
   std::uint64_t content = 0;
   CreditOutcome outcome = CreditOutcome::kRefused;
@@ -66,11 +66,11 @@
   bool operator==(const CreditDecision&) const = default;
 };
 
-/// Message from a gateway to the owner of a limit.
+/// Request of a gateway to the owner of a limit.
 struct CreditRequest {
   /// Number of credits requested, for pending and expected requests; includes those of `asks`.
   double wanted = 0;
-  /// Number of requests of the tenant that arrived at the gateway since its last message.
+  /// Number of requests of the tenant that arrived at the gateway since its last `CreditRequest`.
   double arrivals = 0;
   /// Pending requests; empty from gateways that do not support scheduled retries.
   std::vector<CreditRequestEntry> asks = {};
@@ -78,7 +78,7 @@
   bool operator==(const CreditRequest&) const = default;
 };
 
-/// Answer of the owner of a limit to a gateway.
+/// Response of the owner of a limit to a `CreditRequest`.
 struct CreditResponse {
   /// Number of credits granted in addition to those granted to `asks`.
   double granted = 0;
--- a/src/request/limits/rate_limit_account.cpp
+++ b/src/request/limits/rate_limit_account.cpp
@@ -77,9 +77,9 @@
 void RateLimitAccount::noteResponse(Instant now, const CreditResponse& answer) {
   const std::optional<Instant> sent_at = std::exchange(request_sent_at_, std::nullopt);
   unreachable_until_ = Instant{};
-  answered_at_ = now;
-  last_answer_ = answer;
-  admitted_at_answer_ = admitted_.rate(now);
+  last_response_at_ = now;
+  last_response_ = answer;
+  admitted_at_response_ = admitted_.rate(now);
   if (!sent_at) {
     // The request has timed out before; its credits may have expired.
     return;
@@ -94,8 +94,8 @@
 /// would grow with each request admitted locally, and the shares of all gateways would exceed the limit while the
 /// traffic of a tenant increases and no owner answers.
 double RateLimitAccount::localShare() const {
-  if (last_answer_.used_per_second <= 0) return 0;
-  return std::min(1.0, admitted_at_answer_ / last_answer_.used_per_second);
+  if (last_response_.used_per_second <= 0) return 0;
+  return std::min(1.0, admitted_at_response_ / last_response_.used_per_second);
 }
 
 void RateLimitAccount::noteNoResponse(Instant now, const TenantLimits& limits) {
--- a/src/request/limits/rate_limit_account.hpp
+++ b/src/request/limits/rate_limit_account.hpp
@@ -46,8 +46,8 @@
 
   bool isIdle(Instant now) const;
   /// Time of the last answer of the owner; empty before the first one.
-  std::optional<Instant> lastResponseAt() const { return answered_at_; }
-  const CreditResponse& lastResponse() const { return last_answer_; }
+  std::optional<Instant> lastResponseAt() const { return last_response_at_; }
+  const CreditResponse& lastResponse() const { return last_response_; }
 
  private:
   /// Credits of one answer; they expire together.
@@ -71,10 +71,10 @@
   Instant next_request_at_{};
   /// Arrivals that have not been reported to the owner.
   double unreported_arrivals_ = 0;
-  std::optional<Instant> answered_at_;
-  CreditResponse last_answer_;
+  std::optional<Instant> last_response_at_;
+  CreditResponse last_response_;
   /// Admission rate of this gateway, per second, when the owner last reported the rate of all gateways.
-  double admitted_at_answer_ = 0;
+  double admitted_at_response_ = 0;
   Instant over_limit_until_{};
   Instant unreachable_until_{};
   TokenBucket local_bucket_;
--- a/src/request/limits/rate_limit_owner.cpp
+++ b/src/request/limits/rate_limit_owner.cpp
@@ -55,8 +55,8 @@
 }
 
 /// Serves the most urgent rank first, and requests of equal rank in their order of arrival.
-void RateLimitOwner::answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits,
-                                const CreditRequest& credit_request, CreditResponse& answer) const {
+void RateLimitOwner::decideEntries(Instant now, Bucket& bucket, const TenantLimits& limits,
+                                   const CreditRequest& credit_request, CreditResponse& answer) const {
   const double rate = limits.online_requests_per_second;
   std::vector<CreditRequestEntry> asks = credit_request.asks;
   std::stable_sort(asks.begin(), asks.end(),
@@ -81,7 +81,7 @@
   if (options_.appointments) {
     const bool reports_arrivals = credit_request.arrivals > 0 || !credit_request.asks.empty();
     bucket.schedule.noteArrivals(now, reports_arrivals ? credit_request.arrivals : credit_request.wanted);
-    answerAsks(now, bucket, limits, credit_request, answer);
+    decideEntries(now, bucket, limits, credit_request, answer);
     wanted -= static_cast<double>(credit_request.asks.size());
     const double kept = static_cast<double>(bucket.schedule.kept(now, rate, capacity));
     answer.is_scarce = bucket.level - kept < rate * toSeconds(kScarcityThreshold);
--- a/src/request/limits/rate_limit_owner.hpp
+++ b/src/request/limits/rate_limit_owner.hpp
@@ -43,8 +43,8 @@
   };
 
   double capacityOf(const TenantLimits& limits) const;
-  void answerAsks(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditRequest& credit_request,
-                  CreditResponse& answer) const;
+  void decideEntries(Instant now, Bucket& bucket, const TenantLimits& limits, const CreditRequest& credit_request,
+                     CreditResponse& answer) const;
   Bucket& bucketOf(Instant now, const TenantId& tenant, const TenantLimits& limits);
 
   RateLimitOptions options_;
--- a/src/request/policy/policy_gate.hpp
+++ b/src/request/policy/policy_gate.hpp
@@ -33,7 +33,7 @@
   /// `kPolicyFailed`, and `kOverloaded` with a retry time for work that the policy sheds under pressure.
   Result<PolicyDecision> admit(const Tenant& tenant, const Service& service, WorkKind kind, PolicyUrgency urgency);
   /// Returns the current decision for work that was accepted earlier. Such work runs even if the policy now denies the
-  /// request; callers use only the urgency and the limits. A failed program gives the default decision.
+  /// request. A failed program gives the default decision.
   PolicyDecision advise(const TenantId& tenant, const ServiceId& service, WorkKind kind);
 
   /// Acquires a slot for an online request. `concurrency` is the fleet-wide limit of the policy, zero for unlimited.
--- a/tests/request/batch/run_time_model_test.cpp
+++ b/tests/request/batch/run_time_model_test.cpp
@@ -47,10 +47,10 @@
 TEST_CASE("items that can be in time are ordered before late ones, then by due time", "[batch][due]") {
   const DueItem early{kNow + std::chrono::seconds(5), std::chrono::seconds(4)};
   const DueItem later{kNow + std::chrono::seconds(9), std::chrono::seconds(4)};
-  const DueItem hopeless{kNow + fromMillis(1900), std::chrono::seconds(4)};
+  const DueItem too_late{kNow + fromMillis(1900), std::chrono::seconds(4)};
   REQUIRE(precedes(kNow, early, later));
-  REQUIRE(precedes(kNow, later, hopeless));
-  REQUIRE_FALSE(precedes(kNow, hopeless, early));
+  REQUIRE(precedes(kNow, later, too_late));
+  REQUIRE_FALSE(precedes(kNow, too_late, early));
   // Of two items with the same due time, the one that is nearly done comes first.
   const DueItem nearly_done{kNow + std::chrono::seconds(9), std::chrono::seconds(1)};
   REQUIRE(precedes(kNow, nearly_done, later));
