--- a/bench/measure/fleet_cost.cpp
+++ b/bench/measure/fleet_cost.cpp
@@ -74,7 +74,7 @@
   request::EngineSelector selector(1, limits);
   nlohmann::json figures;
   figures["all_engines_us"] = microsecondsEach(1, [&](int) { selector.takeEngines(kStart, wholeListOf(engines)); });
-  figures["telling_us"] = microsecondsEach(kFewTimes, [&](int) { selector.noteOthers(kStart, shares); });
+  figures["telling_us"] = microsecondsEach(kFewTimes, [&](int) { selector.notePeerLoads(kStart, shares); });
   figures["choice_us"] = microsecondsEach(kManyTimes, [&](int) { selector.choose(kStart, onlineQuery()); });
   EngineQuery background = onlineQuery();
   background.background = true;
--- a/src/process/exchange/gateway_program.cpp
+++ b/src/process/exchange/gateway_program.cpp
@@ -115,7 +115,7 @@
   selector_.setChangeHandler([this] { reportLoadSoon(); });
   stores_.setDigestHandler([this](const fleet::LoadDigestFrame& digest) {
     const Instant now = monotonicNow();
-    if (const auto others = loads_.take(now, digest)) selector_.noteOthers(now, *others);
+    if (const auto others = loads_.take(now, digest)) selector_.notePeerLoads(now, *others);
   });
   stores_.setCrashHandler(
       [this](const ReplicaId& from, const fleet::CrashNotesFrame& notes) { onCrashNotes(from, notes); });
--- a/src/process/store/job_executor.hpp
+++ b/src/process/store/job_executor.hpp
@@ -90,7 +90,7 @@
   std::uint64_t term() const { return term_; }
   /// What the runs here have in flight, and what all gateways have.
   std::vector<request::EngineShare> ownShares(Instant now) { return selector_.ownShares(now); }
-  void noteOthers(Instant now, const std::vector<request::EngineShare>& others);
+  void notePeerLoads(Instant now, const std::vector<request::EngineShare>& others);
   const JobExecutorCounters& counters() const { return counters_; }
   bool knowsEngine(const EngineId& engine) const { return selector_.knows(engine); }
   bool isServing(const EngineId& engine) const { return selector_.isServing(engine); }
--- a/src/process/store/job_executor_trough.cpp
+++ b/src/process/store/job_executor_trough.cpp
@@ -39,8 +39,8 @@
   }
 }
 
-void JobExecutor::noteOthers(Instant now, const std::vector<request::EngineShare>& others) {
-  selector_.noteOthers(now, others);
+void JobExecutor::notePeerLoads(Instant now, const std::vector<request::EngineShare>& others) {
+  selector_.notePeerLoads(now, others);
   if (!plansTrough()) return;
   trough_noted_at_ = now;
   for (const ServiceId& service : batch_services_) trough_.noteLoad(now, service, selector_.zoneLoads(now, service));
--- a/src/process/store/placement_service.cpp
+++ b/src/process/store/placement_service.cpp
@@ -24,7 +24,7 @@
   limits.learns_pace = features.engine_pace;
   limits.places_zone = true;
   limits.cold_zone = std::move(zone);
-  limits.silence_allowed += kNoteDelay;
+  limits.overdue_grace += kNoteDelay;
   limits.full_risk_ms = kFullRiskMs;
   return limits;
 }
@@ -53,8 +53,8 @@
   serveLines(now);
 }
 
-void PlacementService::noteOthers(Instant now, const std::vector<request::EngineShare>& others) {
-  selector_.noteOthers(now, others);
+void PlacementService::notePeerLoads(Instant now, const std::vector<request::EngineShare>& others) {
+  selector_.notePeerLoads(now, others);
   serveLines(now);
 }
 
@@ -91,9 +91,9 @@
   gateway.tickets[question.number] = selector_.begin(now, choice.engine.id, queryOf(question));
   ++counters_.placed;
   if (choice.estimated_running >= choice.engine.slots) ++counters_.placed_at_full;
-  if (choice.must_give_way) {
+  if (choice.needs_preemption) {
     ++counters_.gave_way;
-    selector_.noteGivingWay(choice.engine.id);
+    selector_.notePreemption(choice.engine.id);
     give_way_(choice.engine.id);
   }
   fleet::PlacementAnswer answer;
--- a/src/process/store/placement_service.hpp
+++ b/src/process/store/placement_service.hpp
@@ -61,7 +61,7 @@
   void setEvacuated(Instant now, const std::set<ZoneId>& zones) { selector_.setEvacuated(now, zones); }
   void setServices(const std::map<ServiceId, RoutedService>& services) { selector_.setServices(services); }
   /// What processes have in flight whose requests are not placed here.
-  void noteOthers(Instant now, const std::vector<request::EngineShare>& others);
+  void notePeerLoads(Instant now, const std::vector<request::EngineShare>& others);
   /// What batch runs have in flight.
   void noteBackground(const std::vector<request::EngineShare>& background) { selector_.noteBackground(background); }
   /// `connection`: identity of the connection that the gateway is reached by.
--- a/src/process/store/placement_service_line.cpp
+++ b/src/process/store/placement_service_line.cpp
@@ -45,14 +45,14 @@
 }
 
 double PlacementService::lineWaitMs(Instant now, const ServiceId& service, std::size_t ahead) const {
-  const double freed = selector_.placesFreedEachMs(now, service, zone_);
+  const double freed = selector_.slotsFreedPerMs(now, service, zone_);
   return freed > 0 ? static_cast<double>(ahead + 1) / freed : 0;
 }
 
 std::optional<EngineChoice> PlacementService::freePlace(Instant now, const fleet::PlacementQuestion& question,
                                                         double wait_ms) {
   request::EngineQuery query = queryOf(question);
-  query.wants_free_place = true;
+  query.needs_free_slot = true;
   const auto choose = [&](double most_detour_ms) {
     std::optional<EngineChoice> choice = selector_.choose(now, query);
     if (choice && choice->detour_ms > most_detour_ms) choice.reset();
@@ -71,7 +71,7 @@
 }
 
 bool PlacementService::hasFastQueues(const fleet::PlacementQuestion& question) const {
-  const std::optional<double> freed_every_ms = selector_.placeFreedEveryMs(question.service);
+  const std::optional<double> freed_every_ms = selector_.slotFreedIntervalMs(question.service);
   return freed_every_ms && *freed_every_ms < kFastQueueShare * static_cast<double>(question.terms->left_ms);
 }
 
--- a/src/process/store/store_program.cpp
+++ b/src/process/store/store_program.cpp
@@ -408,7 +408,7 @@
   measureProgress(now);
   reportOwnLoad(now);
   aggregator_.tick(now);
-  if (placement_.gateways() > 0) placement_.noteOthers(now, aggregator_.notPlacedHere());
+  if (placement_.gateways() > 0) placement_.notePeerLoads(now, aggregator_.notPlacedHere());
   placement_.tick(now);
   links_.dropUnused(now);
   if (now < next_trim_) return;
--- a/src/process/store/store_program_loads.cpp
+++ b/src/process/store/store_program_loads.cpp
@@ -30,7 +30,7 @@
 
 void StoreProgram::onDigest(const fleet::LoadDigestFrame& digest) {
   const Instant now = monotonicNow();
-  if (const auto others = own_load_.take(now, digest)) executor_->noteOthers(now, *others);
+  if (const auto others = own_load_.take(now, digest)) executor_->notePeerLoads(now, *others);
 }
 
 void StoreProgram::tellBackground(const std::vector<request::EngineShare>& shares) {
--- a/src/request/exchange/engine_selector.cpp
+++ b/src/request/exchange/engine_selector.cpp
@@ -143,7 +143,7 @@
 }
 
 /// Time grows with the engines under load: engines that are not named keep an older report number.
-void EngineSelector::noteOthers(Instant now, const std::vector<EngineShare>& others) {
+void EngineSelector::notePeerLoads(Instant now, const std::vector<EngineShare>& others) {
   notePeerReport(now);
   ++peer_report_;
   for (auto& [service, pool] : pools_) pool.clearPeers();
@@ -169,7 +169,7 @@
   }
 }
 
-void EngineSelector::noteGivingWay(const EngineId& engine) {
+void EngineSelector::notePreemption(const EngineId& engine) {
   const auto found = engines_.find(engine);
   if (found != engines_.end() && backgroundAt(found->second) > 0) --found->second.background;
 }
@@ -230,7 +230,7 @@
   return pool == nullptr ? 0 : pool->ofZone(zone).size();
 }
 
-std::optional<double> EngineSelector::placeFreedEveryMs(const ServiceId& service) const {
+std::optional<double> EngineSelector::slotFreedIntervalMs(const ServiceId& service) const {
   const EnginePool* const pool = poolOf(service);
   const auto hold = slot_hold_ms_.find(service);
   if (pool == nullptr || pool->slots() == 0 || hold == slot_hold_ms_.end()) return std::nullopt;
@@ -242,7 +242,7 @@
   return found != paces_.end() && found->second.isUneven();
 }
 
-double EngineSelector::placesFreedEachMs(Instant now, const ServiceId& service, const ZoneId& zone) const {
+double EngineSelector::slotsFreedPerMs(Instant now, const ServiceId& service, const ZoneId& zone) const {
   const EnginePool* const pool = poolOf(service);
   if (pool == nullptr || !slot_hold_ms_.contains(service)) return 0;
   const double hold_ms = std::max(1.0, slotHoldMs(service));
--- a/src/request/exchange/engine_selector.hpp
+++ b/src/request/exchange/engine_selector.hpp
@@ -51,7 +51,7 @@
   double full_risk_ms = 80;
   /// Grace period beyond the expected first byte of an answer. An engine with an answer that is overdue by more costs
   /// as much as the answer is late, up to the maximum.
-  Duration silence_allowed = fromMillis(80);
+  Duration overdue_grace = fromMillis(80);
   double max_overdue_cost_ms = 3000;
   /// Maximum cost of an engine that another process reports to avoid.
   double max_reported_avoid_ms = 600;
@@ -144,7 +144,7 @@
   bool background = false;
   /// Only engines with a free slot are eligible, counting slots of preemptible batch runs unless `spares_background` is
   /// set. Loads of other zones lag behind, so engines there need more than one free slot.
-  bool wants_free_place = false;
+  bool needs_free_slot = false;
   bool spares_background = false;
   /// Background work only: zero for work that can wait, one for work that must run now and leaves no slots free.
   double urgency = 0;
@@ -169,7 +169,7 @@
   bool in_long_lane = false;
   std::size_t candidates = 0;
   /// A batch run must be preempted to free the slot.
-  bool must_give_way = false;
+  bool needs_preemption = false;
   /// Expected duration of work relative to the mean engine of the service, and the age of the engine's own report of
   /// its speed; negative if there is none.
   double slowness = 1;
@@ -224,11 +224,11 @@
   /// Records the engine's timing of an answered request; call before `end`.
   void noteTiming(TicketId ticket, const AnswerTiming& timing);
   /// Applies a report of the load of all peer processes, which takes precedence over engine-reported loads while valid.
-  void noteOthers(Instant now, const std::vector<EngineShare>& others);
+  void notePeerLoads(Instant now, const std::vector<EngineShare>& others);
   /// Applies a report of the batch runs in flight, which are counted apart from the peers' online requests.
   void noteBackground(const std::vector<EngineShare>& background);
   /// Records that a batch run at the engine was ordered to yield its slot.
-  void noteGivingWay(const EngineId& engine);
+  void notePreemption(const EngineId& engine);
   /// Returns the load of this process by engine, for its peers. Time grows with the requests in flight, not with the
   /// fleet.
   std::vector<EngineShare> ownShares(Instant now);
@@ -250,12 +250,12 @@
   std::size_t engineCount(const ServiceId& service, const ZoneId& zone) const;
   /// Mean time between two slots becoming free at one busy engine of the service; absent until the slot hold time has
   /// been observed.
-  std::optional<double> placeFreedEveryMs(const ServiceId& service) const;
+  std::optional<double> slotFreedIntervalMs(const ServiceId& service) const;
   /// True if the engines of the service report their speed, so that they are not treated as equal.
   bool isUneven(const ServiceId& service) const;
   /// Number of slots per millisecond that become free at the zone's engines in rotation while all are taken; zero until
   /// the slot hold time has been observed.
-  double placesFreedEachMs(Instant now, const ServiceId& service, const ZoneId& zone) const;
+  double slotsFreedPerMs(Instant now, const ServiceId& service, const ZoneId& zone) const;
   /// Slots of all open engines.
   std::uint32_t allSlots() const;
   /// Slots of the service's engines by zone, and the peers' requests in flight there; engines out of rotation and cold
--- a/src/request/exchange/engine_selector_choice.cpp
+++ b/src/request/exchange/engine_selector_choice.cpp
@@ -41,11 +41,11 @@
     if (!isAllowed(*state, query) || !admitsAnother(now, *state, query)) continue;
     any_in_rotation = any_in_rotation || now >= state->ejected_until;
     if (query.background && !hasBackgroundRoom(now, *state, reserve)) continue;
-    if (query.wants_free_place && !hasFreeSlot(now, *state, query)) continue;
+    if (query.needs_free_slot && !hasFreeSlot(now, *state, query)) continue;
     (now < state->ejected_until ? ejected : usable).push_back(state);
   }
   // Batch work and queued requests wait for room at an engine in rotation.
-  if ((query.background || query.wants_free_place) && any_in_rotation) return usable;
+  if ((query.background || query.needs_free_slot) && any_in_rotation) return usable;
   const std::size_t all = usable.size() + ejected.size();
   const auto least = static_cast<std::size_t>(std::ceil(static_cast<double>(all) * (1 - limits_.max_ejected_share)));
   std::sort(ejected.begin(), ejected.end(), [](const EngineState* left, const EngineState* right) {
@@ -128,7 +128,7 @@
     if (now < state->ejected_until || !isAllowed(*state, query)) continue;
     if (!admitsAnother(now, *state, query)) continue;
     if (query.background && !hasBackgroundRoom(now, *state, reserve)) continue;
-    if (query.wants_free_place && !hasFreeSlot(now, *state, query)) continue;
+    if (query.needs_free_slot && !hasFreeSlot(now, *state, query)) continue;
     const double total = cost(now, *state, query, 0) + jitter(random_);
     if (total >= best_cost) continue;
     best = state;
@@ -191,7 +191,7 @@
   choice.expects_cached_prefix = cached_share > 0;
   choice.in_long_lane = state.in_long_lane;
   choice.candidates = among;
-  choice.must_give_way = needsPreemption(now, state);
+  choice.needs_preemption = needsPreemption(now, state);
   choice.detour_ms = overdueCost(now, state);
   if (state.record.zone != query.zone) {
     choice.detour_ms += limits_.other_zone_cost_ms + riskCost(state, choice.estimated_running);
--- a/src/request/exchange/engine_selector_costs.cpp
+++ b/src/request/exchange/engine_selector_costs.cpp
@@ -69,14 +69,14 @@
 
 Duration EngineSelector::answerDue(Instant now, const EngineState& state) const {
   const double reading_ms = static_cast<double>(state.unread_tokens) / limits_.prompt_tokens_per_ms;
-  if (!isUneven(state)) return limits_.silence_allowed + Duration(static_cast<Duration::rep>(reading_ms * 1000));
+  if (!isUneven(state)) return limits_.overdue_grace + Duration(static_cast<Duration::rep>(reading_ms * 1000));
   // An engine that answers at its own slow speed is not overdue, nor is one whose slots were all taken.
   const double slow = std::max(1.0, slowness(now, state));
   const double before_first_ms = (state.service_pace->firstMs() + reading_ms) * slow;
   const double slots = std::max<double>(1, state.record.slots);
   const double ahead = std::max(0.0, estimatedRunning(now, state) - slots);
   const double wait_ms = ahead * slotHoldMs(state.record.service) * slow / slots;
-  return limits_.silence_allowed + Duration(static_cast<Duration::rep>((before_first_ms + wait_ms) * 1000));
+  return limits_.overdue_grace + Duration(static_cast<Duration::rep>((before_first_ms + wait_ms) * 1000));
 }
 
 double EngineSelector::readingMs(Instant now, const EngineState& state, const EngineQuery& query, double cached_share,
--- a/tests/process/store/job_executor_test.cpp
+++ b/tests/process/store/job_executor_test.cpp
@@ -443,7 +443,7 @@
     const bool is_high = ago % kPeriod >= kPeriod / 2;
     std::vector<request::EngineShare> others;
     if (is_high) others.push_back({EngineId("e"), 8, 0, 0});
-    stage.executor().noteOthers(now - fromMillis(ago), others);
+    stage.executor().notePeerLoads(now - fromMillis(ago), others);
   }
 }
 
--- a/tests/process/store/placement_line_test.cpp
+++ b/tests/process/store/placement_line_test.cpp
@@ -268,7 +268,7 @@
   service.setAnswerHandler([&](const void*, const fleet::PlacementAnswer& answer) { conclude(answer); });
   for (double tick = 0; tick < kEndMs + 2000; tick += 50) {
     time.at(tick, [&] {
-      service.noteOthers(time.now(), {});
+      service.notePeerLoads(time.now(), {});
       service.tick(time.now());
     });
   }
--- a/tests/request/admission/engine_pace_test.cpp
+++ b/tests/request/admission/engine_pace_test.cpp
@@ -53,7 +53,7 @@
   limits.learns_pace = learns_pace;
   EngineSelector selector(seed, limits);
   selector.takeEngines(time.now(), wholeListOf(engines.records(kService, kZone)));
-  for (double at = 0; at < kEndMs; at += 50) time.at(at, [&] { selector.noteOthers(time.now(), {}); });
+  for (double at = 0; at < kEndMs; at += 50) time.at(at, [&] { selector.notePeerLoads(time.now(), {}); });
   const replay::Load wave{{0, 100}, {3400, 255}, {5800, 100}, {9200, 255 * jump}, {11600, 100}};
   Played played;
   for (const double at : replay::arrivals(wave, kEndMs, seed)) {
--- a/tests/request/exchange/engine_selector_test.cpp
+++ b/tests/request/exchange/engine_selector_test.cpp
@@ -75,7 +75,7 @@
       const EngineId home = selector.choose(kStart, wanted)->engine.id;
       idle.insert(home);
       // Prompts of peers that take 140 ms to process.
-      selector.noteOthers(kStart, {EngineShare{home, 3, 12000, 0}});
+      selector.notePeerLoads(kStart, {EngineShare{home, 3, 12000, 0}});
       loaded.insert(selector.choose(kStart, wanted)->engine.id);
     }
     REQUIRE(idle.size() == 1);
@@ -141,9 +141,10 @@
   selector.takeEngines(kStart, wholeListOf(engines(2)));
   EngineQuery background = query();
   background.background = true;
-  selector.noteOthers(kStart, {});
+  selector.notePeerLoads(kStart, {});
   const Instant surged = kStart + fromMillis(100);
-  selector.noteOthers(surged, {EngineShare{EngineId("engine-0"), 4, 0, 0}, EngineShare{EngineId("engine-1"), 3, 0, 0}});
+  selector.notePeerLoads(surged,
+                         {EngineShare{EngineId("engine-0"), 4, 0, 0}, EngineShare{EngineId("engine-1"), 3, 0, 0}});
   const auto fill = [&](double urgency) {
     background.urgency = urgency;
     int started = 0;
@@ -203,7 +204,7 @@
     return engines.size();
   };
   REQUIRE(chosen(kStart) == 9);
-  selector.noteOthers(kStart, {EngineShare{EngineId("engine-1"), 1, 13000, 0}});
+  selector.notePeerLoads(kStart, {EngineShare{EngineId("engine-1"), 1, 13000, 0}});
   REQUIRE(chosen(kStart + fromMillis(800)) == 3);
   REQUIRE(chosen(kStart + std::chrono::seconds(16)) == 9);
 }
@@ -217,7 +218,7 @@
   for (std::uint64_t process = 1; process <= 300; ++process) {
     EngineSelector selector(process);
     selector.takeEngines(kStart, wholeListOf(engines(40)));
-    selector.noteOthers(kStart, others);
+    selector.notePeerLoads(kStart, others);
     ++chosen[selector.choose(kStart, query())->engine.id];
   }
   // About fifty choices fall within one report interval; 300 processes are six times as many.
@@ -242,7 +243,7 @@
     for (int i = 0; i < 5; ++i) {
       others.push_back(EngineShare{EngineId("engine-" + std::to_string(i)), static_cast<std::uint32_t>(2 + i), 0, 0});
     }
-    selector.noteOthers(kStart, others);
+    selector.notePeerLoads(kStart, others);
     ++chosen[selector.choose(kStart, query())->engine.id];
   }
   for (const auto& [engine, count] : chosen) REQUIRE(count < kProcesses * 2 / 5);
@@ -258,7 +259,7 @@
       const std::uint32_t avoid_ms = i == 7 ? 0 : 500;
       others.push_back(EngineShare{EngineId("engine-" + std::to_string(i)), 9, 0, avoid_ms});
     }
-    selector.noteOthers(kStart, others);
+    selector.notePeerLoads(kStart, others);
     REQUIRE(selector.choose(kStart, query())->engine.id == EngineId("engine-7"));
   }
 }
@@ -282,7 +283,7 @@
   second.takeEngines(kStart, wholeListOf(engines(2)));
   first.begin(kStart, EngineId("engine-0"), query());
   const Instant later = kStart + fromMillis(300);
-  second.noteOthers(later, first.ownShares(later));
+  second.notePeerLoads(later, first.ownShares(later));
   for (int i = 0; i < 30; ++i) REQUIRE(second.choose(later, query())->engine.id == EngineId("engine-1"));
 }
 
@@ -525,7 +526,7 @@
     const bool is_free = i % 5 == 2 && i % 50 == 2;
     others.push_back(EngineShare{EngineId("engine-" + std::to_string(i)), is_free ? 0u : 10u, 0, 0});
   }
-  selector.noteOthers(kStart, others);
+  selector.notePeerLoads(kStart, others);
   for (int i = 0; i < 20; ++i) {
     const auto choice = selector.choose(kStart, query());
     REQUIRE(choice->estimated_running < 10);
@@ -552,9 +553,9 @@
 TEST_CASE("a report of peer loads replaces the previous one, also for engines that it does not name", "[selector]") {
   EngineSelector selector(3);
   selector.takeEngines(kStart, wholeListOf(engines(2)));
-  selector.noteOthers(kStart, {EngineShare{EngineId("engine-0"), 10, 0, 0}});
+  selector.notePeerLoads(kStart, {EngineShare{EngineId("engine-0"), 10, 0, 0}});
   REQUIRE(selector.choose(kStart, query())->engine.id == EngineId("engine-1"));
-  selector.noteOthers(kStart, {EngineShare{EngineId("engine-1"), 10, 0, 0}});
+  selector.notePeerLoads(kStart, {EngineShare{EngineId("engine-1"), 10, 0, 0}});
   REQUIRE(selector.choose(kStart, query())->engine.id == EngineId("engine-0"));
   REQUIRE(selector.freeSlots(kStart, ServiceId("llm")) == 10);
 }
