--- a/src/process/exchange/exchange_run.cpp
+++ b/src/process/exchange/exchange_run.cpp
@@ -101,7 +101,7 @@
   const bool may_have_run = end == AttemptEnd::kBroken || end == AttemptEnd::kStreamBroken;
   if (may_have_run && !route_.isRepeatable()) return false;
   // A stream that was passed on in part goes on only from an event that the next engine can name.
-  if (stream_started_ && !position_.canGoOn()) return false;
+  if (stream_started_ && !position_.canResume()) return false;
   return runs_ < std::max<std::uint32_t>(1, route_.most_attempts);
 }
 
@@ -297,7 +297,7 @@
     logEnd("caller_left", 0);
     co_return;
   }
-  if (stream_started_ && position_.mayBeWhole()) {
+  if (stream_started_ && position_.mayBeComplete()) {
     // No other engine could tell whether the close came at the end of the text; it was a proper one.
     const AttemptEnd end = co_await finishStream(answer_status_);
     if (end == AttemptEnd::kAnswered) co_return;
--- a/src/process/exchange/exchange_run_stream.cpp
+++ b/src/process/exchange/exchange_run_stream.cpp
@@ -110,7 +110,7 @@
   const request::TextEnd end = position_.judgeEnd(answer, tools_.framing);
   tools_.framing.note(answer);
   const bool is_whole = end == request::TextEnd::kWhole;
-  const bool can_ask = route_.isRepeatable() && position_.canGoOn() && runs_ + 1 < route_.most_attempts;
+  const bool can_ask = route_.isRepeatable() && position_.canResume() && runs_ + 1 < route_.most_attempts;
   // Where no other answer can tell, a proper close ends an answer without a length.
   if (is_whole || (end == request::TextEnd::kUnproved && !can_ask)) {
     verdict_ = EngineVerdict::kGood;
--- a/src/process/store/item_runner.cpp
+++ b/src/process/store/item_runner.cpp
@@ -85,7 +85,7 @@
   offer.saved_chain = run.order.saved_chain;
   offer.text = run.text;
   offer.has_text = run.has_text;
-  offer.last_event = run.position.canGoOn() ? run.position.last().value_or(0) : 0;
+  offer.last_event = run.position.canResume() ? run.position.last().value_or(0) : 0;
   offer.ended = run.news.ended;
   offer.end = run.news.end;
   offer.verdict = run.news.verdict;
@@ -390,7 +390,7 @@
   run.has_text = true;
   run.has_news = true;
   ++run.news.events;
-  run.news.last_event = run.position.canGoOn() ? run.position.last().value_or(0) : 0;
+  run.news.last_event = run.position.canResume() ? run.position.last().value_or(0) : 0;
   return true;
 }
 
--- a/src/request/exchange/stream_position.hpp
+++ b/src/request/exchange/stream_position.hpp
@@ -75,9 +75,9 @@
   /// Event after which the next attempt resumes; absent if the attempt starts from the first event.
   std::optional<std::uint64_t> last() const { return last_; }
   /// False once an event without an identifier was accepted: no later attempt can resume after it.
-  bool canGoOn() const { return is_resumable_; }
+  bool canResume() const { return is_resumable_; }
   /// True after an unproved close, until another event arrives.
-  bool mayBeWhole() const { return has_unproved_close_; }
+  bool mayBeComplete() const { return has_unproved_close_; }
 
  private:
   std::optional<std::uint64_t> last_;
--- a/tests/request/exchange/stream_position_test.cpp
+++ b/tests/request/exchange/stream_position_test.cpp
@@ -27,7 +27,7 @@
   REQUIRE(position.last() == 8u);
   REQUIRE(position.take(9, true) == EventPlace::kNext);
   REQUIRE(position.last() == 9u);
-  REQUIRE(position.canGoOn());
+  REQUIRE(position.canResume());
 }
 
 TEST_CASE("an event without an identifier follows the previous event of its own answer", "[stream]") {
@@ -43,10 +43,10 @@
   }
   SECTION("at the end, as an end mark") {
     REQUIRE(position.take(3, true) == EventPlace::kNext);
-    REQUIRE(position.canGoOn());
+    REQUIRE(position.canResume());
     REQUIRE(position.take(std::nullopt, true) == EventPlace::kNext);
   }
-  REQUIRE_FALSE(position.canGoOn());
+  REQUIRE_FALSE(position.canResume());
   position.beginAnswer();
   REQUIRE(position.take(std::nullopt, true) == EventPlace::kUnknown);
 }
@@ -54,11 +54,11 @@
 TEST_CASE("a text without identifiers cannot be resumed at another engine", "[stream]") {
   StreamPosition position;
   REQUIRE(position.take(std::nullopt, false) == EventPlace::kNext);
-  REQUIRE(position.canGoOn());
+  REQUIRE(position.canResume());
   REQUIRE(position.take(std::nullopt, true) == EventPlace::kNext);
-  REQUIRE_FALSE(position.canGoOn());
+  REQUIRE_FALSE(position.canResume());
   REQUIRE(position.take(1, true) == EventPlace::kNext);
-  REQUIRE_FALSE(position.canGoOn());
+  REQUIRE_FALSE(position.canResume());
 }
 
 namespace {
@@ -83,23 +83,23 @@
   const AnswerFraming framing;
   StreamPosition position;
   position.take(1, true);
-  REQUIRE_FALSE(position.mayBeWhole());
+  REQUIRE_FALSE(position.mayBeComplete());
   REQUIRE(position.judgeEnd(AnswerEnd::kClosed, framing) == TextEnd::kUnproved);
-  REQUIRE(position.mayBeWhole());
+  REQUIRE(position.mayBeComplete());
   SECTION("another answer is framed") {
     position.take(1, true);
     REQUIRE(position.judgeEnd(AnswerEnd::kFramed, framing) == TextEnd::kWhole);
   }
   SECTION("another answer is closed in the same place") {
     REQUIRE(position.judgeEnd(AnswerEnd::kClosed, framing) == TextEnd::kBroken);
-    REQUIRE_FALSE(position.mayBeWhole());
+    REQUIRE_FALSE(position.mayBeComplete());
   }
   SECTION("another answer is closed in the same place, by engines that always close") {
     REQUIRE(position.judgeEnd(AnswerEnd::kClosed, alwaysClosing()) == TextEnd::kWhole);
   }
   SECTION("another answer goes on") {
     REQUIRE(position.take(2, true) == EventPlace::kNext);
-    REQUIRE_FALSE(position.mayBeWhole());
+    REQUIRE_FALSE(position.mayBeComplete());
     REQUIRE(position.judgeEnd(AnswerEnd::kClosed, framing) == TextEnd::kBroken);
     REQUIRE(position.judgeEnd(AnswerEnd::kFramed, framing) == TextEnd::kWhole);
   }
