--- a/src/process/exchange/exchange_run_choice.cpp
+++ b/src/process/exchange/exchange_run_choice.cpp
@@ -90,7 +90,7 @@
   if (tenant_ != nullptr) wait.terms.tenant = tenant_->id;
   wait.terms.priority = route_.priority;
   wait.terms.may_be_refused = is_fresh && route_.objective > Duration::zero();
-  const Duration left = is_fresh ? tools_.gate.longestWait(route_.objective, now - received_at_) : route_.objective;
+  const Duration left = is_fresh ? tools_.gate.maxWait(route_.objective, now - received_at_) : route_.objective;
   // Without an objective a place is worth half of what is left until the caller gives up.
   const bool has_objective = route_.objective > Duration::zero();
   wait.terms.left_ms = toMillis(std::clamp(has_objective ? left : (deadline_ - now) / 2, Duration::zero(),
@@ -113,7 +113,7 @@
             {"after_ms", elapsedMs()}});
   if (!refused_in_line_) return;
   const Duration line = fromMillis(place.answer.refused_for_ms);
-  come_back_after_ = tools_.gate.comeBackAfter(line);
+  come_back_after_ = tools_.gate.retryAfter(line);
   cause_ = "zone_full";
   ++tools_.counters.rejected_early;
 }
@@ -124,7 +124,7 @@
   // It waited here for what was kept for it, and is of use to its caller though it is late.
   if (monotonicNow() - received_at_ > route_.objective) return false;
   if (tools_.gate.admits(route_.objective, monotonicNow() - received_at_, wait)) return false;
-  come_back_after_ = tools_.gate.comeBackAfter(wait);
+  come_back_after_ = tools_.gate.retryAfter(wait);
   cause_ = "engines_full";
   ++tools_.counters.rejected_early;
   logEvent(LogLevel::kInfo, "request_rejected_early",
--- a/src/request/exchange/arrival_gate.hpp
+++ b/src/request/exchange/arrival_gate.hpp
@@ -29,10 +29,10 @@
   bool admits(Duration objective, Duration waited, Duration expected_wait) const;
   /// Longest time that a request may still wait before its engine starts on it; zero or less if the objective can no
   /// longer be met.
-  Duration longestWait(Duration objective, Duration waited) const;
+  Duration maxWait(Duration objective, Duration waited) const;
   /// Returns the retry time for a rejected caller: the expected wait, with jitter so that callers do not retry in
   /// bursts, within the configured bounds.
-  Duration comeBackAfter(Duration expected_wait);
+  Duration retryAfter(Duration expected_wait);
 
  private:
   ArrivalGateLimits limits_;
--- a/tests/request/exchange/arrival_gate_test.cpp
+++ b/tests/request/exchange/arrival_gate_test.cpp
@@ -45,14 +45,14 @@
   Duration least = std::chrono::seconds(9);
   Duration most{};
   for (int i = 0; i < 200; ++i) {
-    const Duration retry_after = gate.comeBackAfter(fromMillis(400));
+    const Duration retry_after = gate.retryAfter(fromMillis(400));
     least = std::min(least, retry_after);
     most = std::max(most, retry_after);
   }
   REQUIRE(least >= fromMillis(300));
   REQUIRE(most <= fromMillis(1500));
   REQUIRE(most - least > fromMillis(500));
-  REQUIRE(gate.comeBackAfter(Duration::zero()) == fromMillis(300));
+  REQUIRE(gate.retryAfter(Duration::zero()) == fromMillis(300));
 }
 
 TEST_CASE("no request is rejected early while an engine has a free slot", "[gate][selector]") {
