--- a/src/process/fleet/fleet_messages.hpp
+++ b/src/process/fleet/fleet_messages.hpp
@@ -14,7 +14,7 @@
 #include "process/fleet/limit_messages.hpp"
 #include "process/fleet/placement_messages.hpp"
 #include "process/fleet/run_messages.hpp"
-#include "request/exchange/load_board.hpp"
+#include "request/exchange/load_table.hpp"
 #include "version/engine_changes.hpp"
 #include "version/evacuated_zones.hpp"
 #include "version/release.hpp"
--- a/src/process/store/load_aggregator.hpp
+++ b/src/process/store/load_aggregator.hpp
@@ -7,8 +7,8 @@
 
 #include "common/time.hpp"
 #include "process/fleet/fleet_messages.hpp"
-#include "request/exchange/load_board.hpp"
 #include "request/exchange/load_digest.hpp"
+#include "request/exchange/load_table.hpp"
 
 namespace hatchfork::store {
 
@@ -64,11 +64,11 @@
   std::vector<ReplicaId> peers_;
   std::map<std::string, Receiver> receivers_;
   /// What is reported here, and the same together with the totals of the other aggregators.
-  request::LoadBoard local_;
-  request::LoadBoard all_;
-  request::LoadBoard not_placed_;
+  request::LoadTable local_;
+  request::LoadTable all_;
+  request::LoadTable not_placed_;
   /// Of what is reported here, the batch runs.
-  request::LoadBoard background_;
+  request::LoadTable background_;
   request::LoadDigestWriter digest_;
   Instant next_digest_{};
   Instant next_totals_{};
--- a/src/process/store/placement_service.hpp
+++ b/src/process/store/placement_service.hpp
@@ -14,7 +14,7 @@
 #include "request/admission/load_features.hpp"
 #include "request/admission/zone_line.hpp"
 #include "request/exchange/engine_selector.hpp"
-#include "request/exchange/load_board.hpp"
+#include "request/exchange/load_table.hpp"
 #include "version/engine_record.hpp"
 
 namespace hatchfork::store {
--- a/src/request/exchange/engine_selector.hpp
+++ b/src/request/exchange/engine_selector.hpp
@@ -16,7 +16,7 @@
 #include "request/admission/zone_load.hpp"
 #include "request/exchange/engine_pool.hpp"
 #include "request/exchange/engine_state.hpp"
-#include "request/exchange/load_board.hpp"
+#include "request/exchange/load_table.hpp"
 #include "request/exchange/prompt_shape.hpp"
 #include "request/exchange/surge_meter.hpp"
 #include "version/engine_changes.hpp"
--- a/src/request/exchange/load_digest.hpp
+++ b/src/request/exchange/load_digest.hpp
@@ -11,7 +11,7 @@
 
 #include "common/ids.hpp"
 #include "request/exchange/engine_keys.hpp"
-#include "request/exchange/load_board.hpp"
+#include "request/exchange/load_table.hpp"
 
 ///
 /// Compact encoding of the loads of all engines, produced once for all receivers.
--- a/src/request/exchange/load_board.cpp
+++ b/src/request/exchange/load_table.cpp
@@ -1,4 +1,4 @@
-#include "request/exchange/load_board.hpp"
+#include "request/exchange/load_table.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -10,14 +10,14 @@
 
 }  // namespace
 
-void LoadBoard::report(Instant now, const std::string& process, std::vector<EngineShare> shares) {
+void LoadTable::report(Instant now, const std::string& process, std::vector<EngineShare> shares) {
   Report& report = reports_[process];
   subtract(process, report.shares);
   report = Report{now, std::move(shares)};
   add(process, report.shares);
 }
 
-void LoadBoard::add(const std::string& process, const std::vector<EngineShare>& shares) {
+void LoadTable::add(const std::string& process, const std::vector<EngineShare>& shares) {
   for (const EngineShare& share : shares) {
     Total& total = totals_[share.engine];
     total.in_flight += share.in_flight;
@@ -27,7 +27,7 @@
   }
 }
 
-void LoadBoard::subtract(const std::string& process, const std::vector<EngineShare>& shares) {
+void LoadTable::subtract(const std::string& process, const std::vector<EngineShare>& shares) {
   for (const EngineShare& share : shares) {
     const auto found = totals_.find(share.engine);
     Total& total = found->second;
@@ -38,7 +38,7 @@
   }
 }
 
-void LoadBoard::expire(Instant now) {
+void LoadTable::expire(Instant now) {
   std::erase_if(reports_, [&](const auto& entry) {
     const bool late = now > entry.second.at + kReportLifetime;
     if (late) subtract(entry.first, entry.second.shares);
@@ -46,7 +46,7 @@
   });
 }
 
-std::vector<EngineShare> LoadBoard::totals() const {
+std::vector<EngineShare> LoadTable::totals() const {
   std::vector<EngineShare> list;
   for (const auto& [engine, total] : totals_) {
     EngineShare share{engine, total.in_flight, total.unread_tokens, 0};
--- a/src/request/exchange/load_board.hpp
+++ b/src/request/exchange/load_table.hpp
@@ -35,7 +35,7 @@
 
 /// Sums the load of all processes at each engine from their reports. A report is valid until the next one of the same
 /// process, for one second at most. No I/O, no clock.
-class LoadBoard {
+class LoadTable {
  public:
   void report(Instant now, const std::string& process, std::vector<EngineShare> shares);
   void expire(Instant now);
--- a/tests/request/exchange/load_board_test.cpp
+++ b/tests/request/exchange/load_table_test.cpp
@@ -1,4 +1,4 @@
-#include "request/exchange/load_board.hpp"
+#include "request/exchange/load_table.hpp"
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -16,38 +16,38 @@
 }  // namespace
 
 TEST_CASE("the last reports of all processes are summed", "[board]") {
-  LoadBoard board;
-  board.report(kStart, "g1", {share("a", 3, 100), share("b", 1, 0)});
-  board.report(kStart, "g2", {share("a", 2, 50)});
-  board.report(kStart, "g1", {share("a", 4, 10)});
-  REQUIRE(board.totals() == std::vector<EngineShare>{share("a", 6, 60)});
-  board.report(kStart, "g1", {});
-  REQUIRE(board.totals() == std::vector<EngineShare>{share("a", 2, 50)});
+  LoadTable table;
+  table.report(kStart, "g1", {share("a", 3, 100), share("b", 1, 0)});
+  table.report(kStart, "g2", {share("a", 2, 50)});
+  table.report(kStart, "g1", {share("a", 4, 10)});
+  REQUIRE(table.totals() == std::vector<EngineShare>{share("a", 6, 60)});
+  table.report(kStart, "g1", {});
+  REQUIRE(table.totals() == std::vector<EngineShare>{share("a", 2, 50)});
 }
 
 TEST_CASE("the avoid time that one process reports appears in the totals until it is withdrawn", "[board]") {
-  LoadBoard board;
+  LoadTable table;
   EngineShare against = share("a", 1, 0);
   against.avoid_ms = 250;
-  board.report(kStart, "g1", {against});
-  board.report(kStart, "g2", {share("a", 2, 50)});
-  REQUIRE(board.totals().front().avoid_ms == 250);
-  board.report(kStart, "g1", {share("a", 1, 0)});
-  REQUIRE(board.totals().front().avoid_ms == 0);
+  table.report(kStart, "g1", {against});
+  table.report(kStart, "g2", {share("a", 2, 50)});
+  REQUIRE(table.totals().front().avoid_ms == 250);
+  table.report(kStart, "g1", {share("a", 1, 0)});
+  REQUIRE(table.totals().front().avoid_ms == 0);
 }
 
 TEST_CASE("the last report of a process expires", "[board]") {
-  LoadBoard board;
-  board.report(kStart, "g1", {share("a", 3, 100)});
-  board.report(kStart + fromMillis(900), "g2", {share("a", 2, 50)});
-  board.expire(kStart + fromMillis(1500));
-  REQUIRE(board.processes() == 1);
-  REQUIRE(board.totals() == std::vector<EngineShare>{share("a", 2, 50)});
+  LoadTable table;
+  table.report(kStart, "g1", {share("a", 3, 100)});
+  table.report(kStart + fromMillis(900), "g2", {share("a", 2, 50)});
+  table.expire(kStart + fromMillis(1500));
+  REQUIRE(table.processes() == 1);
+  REQUIRE(table.totals() == std::vector<EngineShare>{share("a", 2, 50)});
 }
 
 TEST_CASE("sums stay exact over many reports that replace each other", "[board]") {
   std::mt19937_64 random(7);
-  LoadBoard board;
+  LoadTable table;
   std::map<std::string, std::vector<EngineShare>> latest;
   for (int step = 0; step < 2000; ++step) {
     const std::string process = "g" + std::to_string(random() % 9);
@@ -59,7 +59,7 @@
       shares.push_back(made);
     }
     latest[process] = shares;
-    board.report(kStart, process, shares);
+    table.report(kStart, process, shares);
     std::map<EngineId, EngineShare> expected;
     for (const auto& [process_name, reported] : latest) {
       for (const EngineShare& share_of_process : reported) {
@@ -72,7 +72,7 @@
     }
     std::vector<EngineShare> list;
     for (const auto& [engine, sum] : expected) list.push_back(sum);
-    REQUIRE(board.totals() == list);
+    REQUIRE(table.totals() == list);
   }
 }
 
