--- a/src/request/batch/batch_admission.cpp
+++ b/src/request/batch/batch_admission.cpp
@@ -34,7 +34,7 @@
     const bool known = found != engines_.end();
     EngineRecord& record = known ? found->second : engines_[engine.id];
     if (!known) {
-      record.others = OthersLoad(options_.others_load);
+      record.others = PeerLoadEstimator(options_.others_load);
       record.limit = engine.slots;
       record.grown_at = now;
     }
--- a/src/request/batch/batch_admission.hpp
+++ b/src/request/batch/batch_admission.hpp
@@ -8,7 +8,7 @@
 #include "common/ids.hpp"
 #include "common/time.hpp"
 #include "request/routing/load_report.hpp"
-#include "request/routing/others_load.hpp"
+#include "request/routing/peer_load_estimator.hpp"
 #include "request/routing/service_fleet.hpp"
 
 namespace hatchfork::request {
@@ -33,7 +33,7 @@
   std::uint32_t most_starting = 1;
   /// After the limit of an engine shrank, it gets one more batch item each time this time passes.
   Duration growth_interval = fromMillis(50);
-  OthersLoadOptions others_load;
+  PeerLoadOptions others_load;
   /// How long a paused item waits for the engine that caches it.
   Duration return_patience = fromMillis(10000);
   /// Target of the online first token; samples above it shrink the batch limit of that engine by `decrease`.
@@ -94,7 +94,7 @@
     /// Own online requests that wait for their first token.
     std::uint32_t online_waiting = 0;
     LoadReport report;
-    OthersLoad others;
+    PeerLoadEstimator others;
     /// Upper bound steered by first-token times and by recent yielding.
     double limit = 0;
     Instant grown_at{};
--- a/src/request/routing/others_load.cpp
+++ b/src/request/routing/peer_load_estimator.cpp
@@ -1,11 +1,11 @@
-#include "request/routing/others_load.hpp"
+#include "request/routing/peer_load_estimator.hpp"
 
 #include <algorithm>
 #include <cmath>
 
 namespace hatchfork::request {
 
-void OthersLoad::recordReport(Instant now, std::uint32_t reported, std::uint32_t own) {
+void PeerLoadEstimator::recordReport(Instant now, std::uint32_t reported, std::uint32_t own) {
   own_samples_.push_back({now, own});
   const double difference = static_cast<double>(reported) - ownLoadAtReport(now);
   const bool known = reported_at_ && now - *reported_at_ <= options_.report_lifetime;
@@ -18,13 +18,13 @@
   reported_at_ = now;
 }
 
-std::uint32_t OthersLoad::ownLoadAtReport(Instant now) {
+std::uint32_t PeerLoadEstimator::ownLoadAtReport(Instant now) {
   const Instant then = now - options_.report_age;
   while (own_samples_.size() >= 2 && own_samples_[1].at <= then) own_samples_.pop_front();
   return own_samples_.front().in_flight;
 }
 
-double OthersLoad::estimate(Instant now) const {
+double PeerLoadEstimator::estimate(Instant now) const {
   if (!reported_at_ || now - *reported_at_ > options_.report_lifetime) return 0;
   return std::max(0.0, mean_peer_load_);
 }
--- a/src/request/routing/others_load.hpp
+++ b/src/request/routing/peer_load_estimator.hpp
@@ -8,7 +8,7 @@
 
 namespace hatchfork::request {
 
-struct OthersLoadOptions {
+struct PeerLoadOptions {
   /// Typical age of a reported load on arrival.
   Duration report_age = fromMillis(600);
   /// Time constant over which the reported and the own load are averaged.
@@ -21,9 +21,9 @@
 /// gateway's own load. A single report says little: it includes requests that have ended since, and does not
 /// distinguish own requests from those of peers. Therefore the difference between the reported load and the own load at
 /// the time of the report is averaged, so that only a lasting difference counts. Not thread-safe.
-class OthersLoad {
+class PeerLoadEstimator {
  public:
-  explicit OthersLoad(OthersLoadOptions options = {}) : options_(options) {}
+  explicit PeerLoadEstimator(PeerLoadOptions options = {}) : options_(options) {}
 
   /// `reported`: online requests running or queued at the engine; `own`: current online requests of this gateway there.
   void recordReport(Instant now, std::uint32_t reported, std::uint32_t own);
@@ -38,7 +38,7 @@
   /// Own load at about the time that a report received at `now` describes.
   std::uint32_t ownLoadAtReport(Instant now);
 
-  OthersLoadOptions options_;
+  PeerLoadOptions options_;
   std::deque<OwnSample> own_samples_;
   double mean_peer_load_ = 0;
   std::optional<Instant> reported_at_;
--- a/src/request/routing/router.cpp
+++ b/src/request/routing/router.cpp
@@ -36,7 +36,7 @@
                       0,
                       0,
                       {},
-                      OthersLoad(options_.others_load),
+                      PeerLoadEstimator(options_.peer_load),
                       AdaptiveConcurrency(concurrency, options_.first_token_target)};
 }
 
--- a/src/request/routing/router.hpp
+++ b/src/request/routing/router.hpp
@@ -13,8 +13,8 @@
 #include "common/time.hpp"
 #include "request/limits/adaptive_concurrency.hpp"
 #include "request/routing/load_report.hpp"
-#include "request/routing/others_load.hpp"
 #include "request/routing/outlier_detector.hpp"
+#include "request/routing/peer_load_estimator.hpp"
 #include "request/routing/prefix_index.hpp"
 #include "request/routing/service_fleet.hpp"
 #include "request/urgency.hpp"
@@ -40,7 +40,7 @@
   /// can preempt batch work at once only on engines it owns.
   double other_zone_penalty = 0.15;
   double not_owned_penalty = 0.1;
-  OthersLoadOptions others_load;
+  PeerLoadOptions peer_load;
   OutlierOptions outlier;
   AdaptiveConcurrencyOptions concurrency;
   Duration first_token_target = fromMillis(360);
@@ -126,7 +126,7 @@
     /// Prompt tokens of own online attempts without an answer yet.
     std::uint32_t pending_prefill = 0;
     LoadReport report;
-    OthersLoad others;
+    PeerLoadEstimator others;
     AdaptiveConcurrency concurrency;
   };
   /// An engine that may take the request, with its score and the figures behind it.
--- a/tests/request/routing/others_load_test.cpp
+++ b/tests/request/routing/peer_load_estimator_test.cpp
@@ -1,4 +1,4 @@
-#include "request/routing/others_load.hpp"
+#include "request/routing/peer_load_estimator.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -12,7 +12,7 @@
 }
 
 TEST_CASE("own requests in a delayed report do not count as peer load", "[router][lag]") {
-  OthersLoad load;
+  PeerLoadEstimator load;
   std::vector<std::uint32_t> own;
   for (int index = 0; index < 200; ++index) own.push_back(index / 10 % 2 == 0 ? 2 : 12);
   double most = 0;
@@ -25,7 +25,7 @@
 }
 
 TEST_CASE("a steady peer load is estimated beside the own load and expires with the reports", "[router][lag]") {
-  OthersLoad load;
+  PeerLoadEstimator load;
   for (int index = 0; index < 40; ++index) load.recordReport(at(index * 250), 6 + 4, 4);
   CHECK(load.estimate(at(9750)) == Approx(6).margin(0.1));
   CHECK(load.estimate(at(9750 + 3001)) == 0);
