--- a/src/process/store/job_commands.hpp
+++ b/src/process/store/job_commands.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "common/ids.hpp"
-#include "process/store/kept_crashes.hpp"
+#include "process/store/stored_crashes.hpp"
 #include "version/batch_submission.hpp"
 
 /// Commands of a store group's replicated log.
@@ -98,6 +98,6 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(DropJobs, jobs)
 
-using JobCommand = std::variant<SubmitJob, ListResults, SaveProgress, EndJob, DropJobs, KeepCrashes>;
+using JobCommand = std::variant<SubmitJob, ListResults, SaveProgress, EndJob, DropJobs, SaveCrashes>;
 
 }  // namespace hatchfork::store
--- a/src/process/store/job_snapshot.hpp
+++ b/src/process/store/job_snapshot.hpp
@@ -30,7 +30,7 @@
 /// What a snapshot holds beside the jobs.
 struct SnapshotTail {
   std::vector<std::uint64_t> refused_attempts;
-  std::vector<KeptCrash> crashes;
+  std::vector<StoredCrash> crashes;
 };
 /// Snapshots of older programs have no refusals and no crashes.
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(SnapshotTail, refused_attempts, crashes)
--- a/src/process/store/job_state.cpp
+++ b/src/process/store/job_state.cpp
@@ -13,7 +13,7 @@
 struct StateSnapshot {
   std::vector<JobSnapshot> jobs;
   std::vector<std::uint64_t> refused_attempts;
-  std::vector<KeptCrash> crashes;
+  std::vector<StoredCrash> crashes;
 };
 /// Snapshots of older programs have no refusals and no crashes.
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(StateSnapshot, jobs, refused_attempts, crashes)
@@ -235,7 +235,7 @@
   return dropped;
 }
 
-bool JobState::applyOne(const KeepCrashes& command) {
+bool JobState::applyOne(const SaveCrashes& command) {
   return kept_crashes_.add(command.crashes);
 }
 
--- a/src/process/store/job_state.hpp
+++ b/src/process/store/job_state.hpp
@@ -12,8 +12,8 @@
 #include "process/consensus/state_machine.hpp"
 #include "process/store/job_commands.hpp"
 #include "process/store/job_snapshot.hpp"
-#include "process/store/kept_crashes.hpp"
 #include "process/store/store_messages.hpp"
+#include "process/store/stored_crashes.hpp"
 #include "process/store/stored_job.hpp"
 
 namespace hatchfork::store {
@@ -50,7 +50,7 @@
   /// Tokens of all items that were listed here so far; only grows.
   std::uint64_t listedTokens() const { return listed_tokens_; }
   /// Ends of engines under requests that are refused for them.
-  const KeptCrashes& keptCrashes() const { return kept_crashes_; }
+  const StoredCrashes& keptCrashes() const { return kept_crashes_; }
   /// Bytes of bodies and texts that are held.
   std::uint64_t heldBytes() const { return held_bytes_; }
   /// What the state takes in memory, with headers and tables, by the number of its items.
@@ -67,7 +67,7 @@
   bool applyOne(const SaveProgress& command);
   std::string_view applyOne(const EndJob& command);
   bool applyOne(const DropJobs& command);
-  bool applyOne(const KeepCrashes& command);
+  bool applyOne(const SaveCrashes& command);
   void addJob(JobSubmission submission);
   /// An open item has become a listed one.
   void noteListed(const ItemResult& result);
@@ -81,7 +81,7 @@
   std::map<JobId, StoredJob> jobs_;
   /// Tries that were refused, the newest last.
   std::deque<std::uint64_t> refused_attempts_;
-  KeptCrashes kept_crashes_;
+  StoredCrashes kept_crashes_;
   std::uint64_t held_bytes_ = 0;
   std::uint64_t listed_tokens_ = 0;
   /// Items of the jobs that are kept: open ones, and listed ones with the bytes of their texts.
--- a/src/process/store/store_program.hpp
+++ b/src/process/store/store_program.hpp
@@ -75,7 +75,7 @@
   void keepCrashes(Instant now);
   /// Takes the crashes that the log of this store holds, before a leader tells which of them the group keeps.
   void recallCrashes(Instant now);
-  void takeKeptCrashes(Instant now, const std::vector<KeptCrash>& crashes);
+  void takeKeptCrashes(Instant now, const std::vector<StoredCrash>& crashes);
   /// Tells what was seen here of requests that end engines, with other news of the same moment.
   void tellCrashesSoon();
   void onCreditQuestion(const fleet::CreditQuestionFrame& frame, const ConnectionPtr& from);
--- a/src/process/store/store_program_crashes.cpp
+++ b/src/process/store/store_program_crashes.cpp
@@ -31,10 +31,10 @@
   });
 }
 
-void StoreProgram::takeKeptCrashes(Instant now, const std::vector<KeptCrash>& crashes) {
+void StoreProgram::takeKeptCrashes(Instant now, const std::vector<StoredCrash>& crashes) {
   const WallMillis wall = connection::wallNow();
   fleet::CrashNotesFrame notes;
-  for (const KeptCrash& crash : crashes) {
+  for (const StoredCrash& crash : crashes) {
     notes.crashes.push_back(
         {crash.content, crash.engine, std::max<std::int64_t>(0, wall - crash.ended_at), crash.ran_ms});
   }
@@ -47,9 +47,9 @@
   std::size_t recalled = 0;
   takeKeptCrashes(now, state_->keptCrashes().all());
   group_->visitUnapplied([&](std::string_view command) {
-    if (command.find(KeepCrashes::kKind) == std::string_view::npos) return;
+    if (command.find(SaveCrashes::kKind) == std::string_view::npos) return;
     const Result<JobCommand> decoded = decodeTagged<JobCommand>(command);
-    const auto* kept = isOk(decoded) ? std::get_if<KeepCrashes>(&valueOf(decoded)) : nullptr;
+    const auto* kept = isOk(decoded) ? std::get_if<SaveCrashes>(&valueOf(decoded)) : nullptr;
     if (kept == nullptr) return;
     recalled += kept->crashes.size();
     takeKeptCrashes(now, kept->crashes);
@@ -59,14 +59,14 @@
 
 /// Where all processes end at once, nobody else remembers: each such request would end three engines more.
 void StoreProgram::keepCrashes(Instant now) {
-  const KeptCrashes& kept = state_->keptCrashes();
+  const StoredCrashes& kept = state_->keptCrashes();
   const WallMillis wall = connection::wallNow();
   if (std::exchange(kept_crashes_taken_, kept.version()) != kept.version()) {
     takeKeptCrashes(now, kept.all());
   }
   const std::uint64_t digest = crashes_.digest();
   if (!executor_->isLeading() || keeping_crashes_ || digest == crashes_looked_at_) return;
-  KeepCrashes command;
+  SaveCrashes command;
   for (const request::CrashRecord& record : crashes_.crashesOfConvicted(now)) {
     if (kept.contains(record.content, record.engine)) continue;
     if (command.crashes.size() >= kMostCrashesOfCommand) break;
--- a/src/process/store/kept_crashes.cpp
+++ b/src/process/store/stored_crashes.cpp
@@ -1,4 +1,4 @@
-#include "process/store/kept_crashes.hpp"
+#include "process/store/stored_crashes.hpp"
 
 #include <algorithm>
 
@@ -12,16 +12,16 @@
 
 }  // namespace
 
-WallMillis KeptCrashes::lastCrashAt(const EngineCrashes& engine_crashes) {
+WallMillis StoredCrashes::lastCrashAt(const EngineCrashes& engine_crashes) {
   WallMillis last = 0;
   for (const auto& [engine, end] : engine_crashes) last = std::max(last, end.ended_at);
   return last;
 }
 
-bool KeptCrashes::add(const std::vector<KeptCrash>& crashes) {
+bool StoredCrashes::add(const std::vector<StoredCrash>& crashes) {
   bool is_new = false;
   WallMillis newest = 0;
-  for (const KeptCrash& crash : crashes) {
+  for (const StoredCrash& crash : crashes) {
     is_new = crashes_[crash.content].emplace(crash.engine, EngineCrash{crash.ended_at, crash.ran_ms}).second || is_new;
     newest = std::max(newest, crash.ended_at);
   }
@@ -31,7 +31,7 @@
   return true;
 }
 
-void KeptCrashes::evict(WallMillis newest) {
+void StoredCrashes::evict(WallMillis newest) {
   std::erase_if(crashes_, [newest](const auto& entry) { return lastCrashAt(entry.second) + kRetentionMs < newest; });
   while (crashes_.size() > kMaxRequests) {
     const auto oldest = std::min_element(crashes_.begin(), crashes_.end(), [](const auto& left, const auto& right) {
@@ -41,13 +41,13 @@
   }
 }
 
-bool KeptCrashes::contains(const request::RequestFingerprint& content, const EngineId& engine) const {
+bool StoredCrashes::contains(const request::RequestFingerprint& content, const EngineId& engine) const {
   const auto found = crashes_.find(content);
   return found != crashes_.end() && found->second.contains(engine);
 }
 
-std::vector<KeptCrash> KeptCrashes::all() const {
-  std::vector<KeptCrash> all;
+std::vector<StoredCrash> StoredCrashes::all() const {
+  std::vector<StoredCrash> all;
   for (const auto& [content, engine_crashes] : crashes_) {
     for (const auto& [engine, end] : engine_crashes) all.push_back({content, engine, end.ended_at, end.ran_ms});
   }
--- a/src/process/store/kept_crashes.hpp
+++ b/src/process/store/stored_crashes.hpp
@@ -14,30 +14,30 @@
 
 /// A crash of an engine during a request that is refused because of it. The time is wall-clock time, since the record
 /// outlives processes.
-struct KeptCrash {
+struct StoredCrash {
   request::RequestFingerprint content;
   EngineId engine;
   WallMillis ended_at = 0;
   /// Time for which the request had been at the engine, in milliseconds.
   std::int64_t ran_ms = 0;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(KeptCrash, content, engine, ended_at, ran_ms)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(StoredCrash, content, engine, ended_at, ran_ms)
 
 /// Log command that stores crashes, so that they survive a simultaneous exit of all processes.
-struct KeepCrashes {
+struct SaveCrashes {
   static constexpr std::string_view kKind = "crashes";
-  std::vector<KeptCrash> crashes;
+  std::vector<StoredCrash> crashes;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(KeepCrashes, crashes)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(SaveCrashes, crashes)
 
 /// The crashes that a store group has stored: bounded, and equal at all replicas. Requests are evicted once their last
 /// crash has expired; beyond the bound, those whose last crash is the oldest are evicted first.
-class KeptCrashes {
+class StoredCrashes {
  public:
   /// Returns true if at least one of the crashes was not stored before.
-  bool add(const std::vector<KeptCrash>& crashes);
+  bool add(const std::vector<StoredCrash>& crashes);
   bool contains(const request::RequestFingerprint& content, const EngineId& engine) const;
-  std::vector<KeptCrash> all() const;
+  std::vector<StoredCrash> all() const;
   std::size_t requests() const { return crashes_.size(); }
   /// Increases whenever crashes are added.
   std::uint64_t version() const { return version_; }
--- a/tests/process/store/job_state_test.cpp
+++ b/tests/process/store/job_state_test.cpp
@@ -323,8 +323,8 @@
 TEST_CASE("ends of engines are kept once each, in snapshots too, and bounded", "[store][crash]") {
   JobState state;
   const auto keep = [&state](const std::string& content, const std::string& engine, WallMillis ended_at) {
-    const KeptCrash crash{request::RequestFingerprint(content), EngineId(engine), ended_at, 30};
-    return state.apply(1, encodeTagged(JobCommand(KeepCrashes{{crash}})));
+    const StoredCrash crash{request::RequestFingerprint(content), EngineId(engine), ended_at, 30};
+    return state.apply(1, encodeTagged(JobCommand(SaveCrashes{{crash}})));
   };
   REQUIRE(keep("a", "e1", 1000) == kApplyChanged);
   REQUIRE(keep("a", "e1", 1010) == kApplyUnchanged);
--- a/tests/recorded/samples.hpp
+++ b/tests/recorded/samples.hpp
@@ -488,12 +488,12 @@
   end.tenant = TenantId("crew");
   store::DropJobs drop;
   drop.jobs = {JobId("job-2")};
-  store::KeptCrash crash;
+  store::StoredCrash crash;
   crash.content = request::RequestFingerprint("abcd");
   crash.engine = EngineId("i-2");
   crash.ended_at = 1700000000999;
   crash.ran_ms = 50;
-  store::KeepCrashes crashes;
+  store::SaveCrashes crashes;
   crashes.crashes = {crash};
   return {submit, dropped_later, refused, save, list, end, drop, crashes};
 }
