--- a/src/process/store/job_executor.cpp
+++ b/src/process/store/job_executor.cpp
@@ -38,8 +38,8 @@
 /// Maximum number of stored results from which a new leader estimates the length of items.
 constexpr std::size_t kMaxResultsLearned = 100;
 
-RunBoardLimits runTableLimits(std::size_t max_runs) {
-  RunBoardLimits limits;
+RunTableLimits runTableLimits(std::size_t max_runs) {
+  RunTableLimits limits;
   limits.max_runs = max_runs;
   return limits;
 }
--- a/src/process/store/job_executor.hpp
+++ b/src/process/store/job_executor.hpp
@@ -14,7 +14,7 @@
 #include "process/fleet/crash_watch.hpp"
 #include "process/fleet/feed_client.hpp"
 #include "process/store/job_state.hpp"
-#include "process/store/run_board.hpp"
+#include "process/store/run_table.hpp"
 #include "request/access/allowed_zones.hpp"
 #include "request/admission/batch_trough.hpp"
 #include "request/admission/fair_share.hpp"
@@ -288,7 +288,7 @@
   ProposeFunction propose_;
   SendFunction send_;
   fleet::CrashWatch& crashes_;
-  RunBoard run_table_;
+  RunTable run_table_;
   request::EngineSelector selector_;
   request::WeightedSplit split_;
   const JobState* state_ = nullptr;
--- a/src/process/store/run_board.cpp
+++ b/src/process/store/run_table.cpp
@@ -1,4 +1,4 @@
-#include "process/store/run_board.hpp"
+#include "process/store/run_table.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void RunBoard::startTerm(Instant now, std::uint64_t term) {
+void RunTable::startTerm(Instant now, std::uint64_t term) {
   clear();
   // Numbers continue to increase if the same term begins again.
   last_number_ = std::max(last_number_, term << kTermShift);
@@ -21,21 +21,21 @@
   next_reminder_ = announced_until_;
 }
 
-void RunBoard::setRunners(std::map<ReplicaId, ZoneId> runners) {
+void RunTable::setRunners(std::map<ReplicaId, ZoneId> runners) {
   runners_ = std::move(runners);
 }
 
-std::size_t RunBoard::runningAt(const ReplicaId& runner) const {
+std::size_t RunTable::runningAt(const ReplicaId& runner) const {
   const auto found = stores_.find(runner);
   return found == stores_.end() ? 0 : found->second.runs.size();
 }
 
-bool RunBoard::isAvoided(Instant now, const ReplicaId& runner) const {
+bool RunTable::isAvoided(Instant now, const ReplicaId& runner) const {
   const auto avoided = avoided_until_.find(runner);
   return avoided != avoided_until_.end() && now < avoided->second;
 }
 
-std::optional<ReplicaId> RunBoard::storeWithFewestRuns(Instant now, const ZoneId* zone, std::size_t limit) const {
+std::optional<ReplicaId> RunTable::storeWithFewestRuns(Instant now, const ZoneId* zone, std::size_t limit) const {
   std::optional<ReplicaId> best;
   std::size_t fewest = limit;
   for (const auto& [runner, its_zone] : runners_) {
@@ -49,7 +49,7 @@
   return best;
 }
 
-std::optional<ReplicaId> RunBoard::chooseRunner(Instant now, const ZoneId& zone) const {
+std::optional<ReplicaId> RunTable::chooseRunner(Instant now, const ZoneId& zone) const {
   const std::size_t here = runningAt(self_);
   if (runs_.size() < limits_.local_runs && here < limits_.max_runs) return self_;
   const double mean = static_cast<double>(runs_.size()) / std::max<double>(1, static_cast<double>(runners_.size()));
@@ -60,7 +60,7 @@
   return std::nullopt;
 }
 
-std::uint64_t RunBoard::begin(Instant now, const ReplicaId& runner) {
+std::uint64_t RunTable::begin(Instant now, const ReplicaId& runner) {
   const std::uint64_t number = ++last_number_;
   runs_[number] = Run{runner, now, 0};
   Runner& entry = stores_[runner];
@@ -69,18 +69,18 @@
   return number;
 }
 
-void RunBoard::adopt(Instant now, const ReplicaId& runner, std::uint64_t number, std::uint64_t sequence) {
+void RunTable::adopt(Instant now, const ReplicaId& runner, std::uint64_t number, std::uint64_t sequence) {
   runs_[number] = Run{runner, now, sequence};
   Runner& entry = stores_[runner];
   entry.last_report_at = now;
   entry.runs.insert(number);
 }
 
-void RunBoard::avoid(Instant now, const ReplicaId& runner) {
+void RunTable::avoid(Instant now, const ReplicaId& runner) {
   avoided_until_[runner] = now + limits_.avoidance_time;
 }
 
-CheckedReport RunBoard::check(Instant now, const fleet::RunReport& report) {
+CheckedReport RunTable::check(Instant now, const fleet::RunReport& report) {
   CheckedReport checked;
   for (const std::uint64_t number : report.running) {
     const auto run = runs_.find(number);
@@ -119,7 +119,7 @@
   return checked;
 }
 
-std::vector<std::uint64_t> RunBoard::takeLost(Instant now) {
+std::vector<std::uint64_t> RunTable::takeLost(Instant now) {
   std::vector<std::uint64_t> lost;
   for (const auto& [id, runner] : stores_) {
     if (id == self_ || now <= runner.last_report_at + limits_.silence_timeout) continue;
@@ -130,14 +130,14 @@
   return lost;
 }
 
-void RunBoard::stop(std::uint64_t number) {
+void RunTable::stop(std::uint64_t number) {
   const auto run = runs_.find(number);
   if (run == runs_.end()) return;
   next_leases_[run->second.runner].stopped.push_back(number);
   forget(number);
 }
 
-void RunBoard::forget(std::uint64_t number) {
+void RunTable::forget(std::uint64_t number) {
   const auto run = runs_.find(number);
   if (run == runs_.end()) return;
   const auto runner = stores_.find(run->second.runner);
@@ -148,7 +148,7 @@
   runs_.erase(run);
 }
 
-std::map<ReplicaId, LeaseContent> RunBoard::takeLeases(Instant now) {
+std::map<ReplicaId, LeaseContent> RunTable::takeLeases(Instant now) {
   std::map<ReplicaId, LeaseContent> leases = std::exchange(next_leases_, {});
   if (now < next_lease_) return leases;
   const bool is_announcing = now < announced_until_;
@@ -161,7 +161,7 @@
   return leases;
 }
 
-void RunBoard::clear() {
+void RunTable::clear() {
   runs_.clear();
   stores_.clear();
   next_leases_.clear();
--- a/src/process/store/run_board.hpp
+++ b/src/process/store/run_table.hpp
@@ -13,8 +13,8 @@
 
 namespace hatchfork::store {
 
-/// Limits and intervals of a `RunBoard`.
-struct RunBoardLimits {
+/// Limits and intervals of a `RunTable`.
+struct RunTableLimits {
   /// While fewer runs than this are in flight in total, the leader runs them itself, so that only one process is woken.
   std::size_t local_runs = 40;
   /// A store in the engine's zone is preferred while its number of runs is at most `max_ratio_to_mean` times the mean
@@ -60,9 +60,9 @@
 /// clock. Not thread-safe.
 ///
 /// Invariant: the news of a run are returned in order and without a gap, or the run counts as lost.
-class RunBoard {
+class RunTable {
  public:
-  RunBoard(ReplicaId self, RunBoardLimits limits) : self_(std::move(self)), limits_(limits) {}
+  RunTable(ReplicaId self, RunTableLimits limits) : self_(std::move(self)), limits_(limits) {}
 
   /// Starts a leadership with an empty table. The numbers of its runs differ from all earlier ones.
   void startTerm(Instant now, std::uint64_t term);
@@ -118,7 +118,7 @@
   std::optional<ReplicaId> storeWithFewestRuns(Instant now, const ZoneId* zone, std::size_t limit) const;
 
   ReplicaId self_;
-  RunBoardLimits limits_;
+  RunTableLimits limits_;
   std::map<ReplicaId, ZoneId> runners_;
   std::map<std::uint64_t, Run> runs_;
   /// Runs by store; a store without runs has no entry.
--- a/tests/process/store/run_board_test.cpp
+++ b/tests/process/store/run_table_test.cpp
@@ -1,4 +1,4 @@
-#include "process/store/run_board.hpp"
+#include "process/store/run_table.hpp"
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -16,15 +16,15 @@
 const ZoneId kZone("z1");
 const ZoneId kOtherZone("z2");
 
-RunBoardLimits limits(std::size_t local, std::size_t most) {
-  RunBoardLimits made;
+RunTableLimits limits(std::size_t local, std::size_t most) {
+  RunTableLimits made;
   made.local_runs = local;
   made.max_runs = most;
   return made;
 }
 
-RunBoard runTable(std::size_t local, std::size_t most) {
-  RunBoard made(kHere, limits(local, most));
+RunTable runTable(std::size_t local, std::size_t most) {
+  RunTable made(kHere, limits(local, most));
   made.setRunners({{kHere, kZone}, {kThere, kZone}, {kElsewhere, kOtherZone}});
   return made;
 }
@@ -44,7 +44,7 @@
 }  // namespace
 
 TEST_CASE("the leader keeps the first runs and spreads the rest evenly", "[store][runs]") {
-  RunBoard runs = runTable(2, 4);
+  RunTable runs = runTable(2, 4);
   for (int i = 0; i < 12; ++i) {
     const auto runner = runs.chooseRunner(at(0), kZone);
     REQUIRE(runner);
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE("an unreachable store gets no orders for a while", "[store][runs]") {
-  RunBoard runs = runTable(0, 4);
+  RunTable runs = runTable(0, 4);
   runs.avoid(at(0), kThere);
   for (int i = 0; i < 8; ++i) {
     const auto runner = runs.chooseRunner(at(10), kZone);
@@ -71,7 +71,7 @@
 }
 
 TEST_CASE("news are accepted in order, and a run with a gap in its news is lost", "[store][runs]") {
-  RunBoard runs = runTable(0, 4);
+  RunTable runs = runTable(0, 4);
   const std::uint64_t first = runs.begin(at(0), kThere);
   const std::uint64_t second = runs.begin(at(0), kThere);
   REQUIRE(runs.check(at(100), RunReport{kThere, 1, {news(first, 1), news(second, 1)}, {first, second}}).news.size() ==
@@ -88,14 +88,14 @@
 
 TEST_CASE("an order that the store does not report as running is lost, unless the order is too recent",
           "[store][runs]") {
-  RunBoard runs = runTable(0, 4);
+  RunTable runs = runTable(0, 4);
   const std::uint64_t number = runs.begin(at(0), kThere);
   REQUIRE(runs.check(at(100), RunReport{kThere, 1, {}, {}}).lost.empty());
   REQUIRE(runs.check(at(900), RunReport{kThere, 1, {}, {}}).lost == std::vector<std::uint64_t>{number});
 }
 
 TEST_CASE("the runs of a store that falls silent are lost", "[store][runs]") {
-  RunBoard runs = runTable(1, 4);
+  RunTable runs = runTable(1, 4);
   runs.begin(at(0), kHere);
   const std::uint64_t there = runs.begin(at(0), kThere);
   const std::uint64_t elsewhere = runs.begin(at(0), kElsewhere);
@@ -107,7 +107,7 @@
 }
 
 TEST_CASE("stores with runs get a lease in each interval, and orders to stop at once", "[store][runs]") {
-  RunBoard runs = runTable(0, 4);
+  RunTable runs = runTable(0, 4);
   const std::uint64_t number = runs.begin(at(0), kThere);
   REQUIRE(runs.takeLeases(at(300)).size() == 1);
   REQUIRE(runs.takeLeases(at(400)).empty());
@@ -117,7 +117,7 @@
 }
 
 TEST_CASE("a run goes to a store in its engine's zone while that has not many more runs than others", "[store][runs]") {
-  RunBoard runs = runTable(0, 100);
+  RunTable runs = runTable(0, 100);
   std::size_t there = 0;
   for (int i = 0; i < 30; ++i) {
     const auto runner = runs.chooseRunner(at(0), kOtherZone);
@@ -132,7 +132,7 @@
 }
 
 TEST_CASE("run numbers are unique across terms, and within a term that begins again", "[store][runs]") {
-  RunBoard runs = runTable(0, 100);
+  RunTable runs = runTable(0, 100);
   std::set<std::uint64_t> numbers;
   for (const std::uint64_t term : {1, 2, 2, 5, 5, 6}) {
     runs.startTerm(at(0), term);
@@ -142,14 +142,14 @@
 }
 
 TEST_CASE("a run that a store reports and the leader has not in its table is stopped there", "[store][runs]") {
-  RunBoard runs = runTable(0, 100);
+  RunTable runs = runTable(0, 100);
   runs.startTerm(at(0), 2);
   runs.check(at(100), RunReport{kThere, 2, {}, {77}});
   REQUIRE(runs.takeLeases(at(100)).at(kThere).stopped == std::vector<std::uint64_t>{77});
 }
 
 TEST_CASE("a store receives confirmations of the answers that are stored", "[store][runs]") {
-  RunBoard runs = runTable(0, 100);
+  RunTable runs = runTable(0, 100);
   runs.startTerm(at(0), 2);
   runs.takeLeases(at(5000));
   runs.acknowledgeAnswer(kThere, 77);
@@ -158,7 +158,7 @@
 }
 
 TEST_CASE("a new leader announces itself to all stores often at first, and once a second later on", "[store][runs]") {
-  RunBoard runs = runTable(0, 100);
+  RunTable runs = runTable(0, 100);
   runs.startTerm(at(0), 2);
   REQUIRE(runs.takeLeases(at(0)).size() == 3);
   REQUIRE(runs.takeLeases(at(60)).size() == 3);
