--- a/src/process/store/job_executor.hpp
+++ b/src/process/store/job_executor.hpp
@@ -48,7 +48,7 @@
   std::uint64_t completed = 0;
   std::uint64_t errored = 0;
   std::uint64_t broken = 0;
-  std::uint64_t yielded = 0;
+  std::uint64_t preempted = 0;
   /// Number of failed runs that were counted against their items.
   std::uint64_t failures_kept = 0;
 };
@@ -85,7 +85,7 @@
   /// Takes a store's offer of runs for earlier leaders: runs of open items are adopted, all others are stopped.
   void take(const fleet::RunOffer& offer);
   /// Preempts one run at this engine at once, because an online request needs its slot.
-  void giveWay(const EngineId& engine);
+  void preemptAt(const EngineId& engine);
   /// Performs retries, preemptions, lease renewals and retention; call several times a second.
   void tick(Instant now);
 
--- a/src/process/store/job_executor_runs.cpp
+++ b/src/process/store/job_executor_runs.cpp
@@ -282,7 +282,7 @@
       run->not_before = now + kRetryAfterDecline;
       break;
     case RunEnd::kYielded:
-      ++counters_.yielded;
+      ++counters_.preempted;
       run->not_before = now + kRetryAfterPreemption;
       break;
     case RunEnd::kBroken:
--- a/src/process/store/job_executor_trough.cpp
+++ b/src/process/store/job_executor_trough.cpp
@@ -202,7 +202,7 @@
   endRun(run, RunEnd::kYielded, request::EngineVerdict::kNeutral, cause);
 }
 
-void JobExecutor::giveWay(const EngineId& engine) {
+void JobExecutor::preemptAt(const EngineId& engine) {
   if (!leading_) return;
   const Instant now = connection::monotonicNow();
   std::vector<ItemPtr> runs;
--- a/src/process/store/store_program.cpp
+++ b/src/process/store/store_program.cpp
@@ -217,7 +217,7 @@
   } else if (const auto* background = std::get_if<fleet::BackgroundLoadFrame>(&decoded)) {
     onBackground(*background);
   } else if (const auto* wanted = std::get_if<fleet::GiveWayFrame>(&decoded)) {
-    executor_->giveWay(wanted->engine);
+    executor_->preemptAt(wanted->engine);
   } else if (const auto* placement = std::get_if<fleet::PlacementQuestion>(&decoded)) {
     if (placement->terms) placement_links_[from.get()] = from;
     from->send(encodeTagged(FleetMessage(placement_.take(monotonicNow(), *placement, from.get()))));
@@ -271,7 +271,7 @@
   items("completed", counters.completed);
   items("errored", counters.errored);
   items("broken", counters.broken);
-  items("yielded", counters.yielded);
+  items("yielded", counters.preempted);
   page.counter("hatchfork_item_failures_kept_total", "Failed runs counted for their items, at the leader.",
                static_cast<double>(counters.failures_kept));
   page.gauge("hatchfork_item_answers_unkept", "Answers against items heard here that no leader is known to have kept.",
--- a/src/process/store/store_program_loads.cpp
+++ b/src/process/store/store_program_loads.cpp
@@ -51,7 +51,7 @@
 void StoreProgram::askToGiveWay(const EngineId& engine) {
   if (background_from_.empty()) return;
   if (background_from_ == settings_.self()) {
-    executor_->giveWay(engine);
+    executor_->preemptAt(engine);
   } else {
     links_.send(background_from_, fleet::GiveWayFrame{engine});
   }
--- a/tests/process/store/item_answers_test.cpp
+++ b/tests/process/store/item_answers_test.cpp
@@ -73,7 +73,7 @@
   /// Drops the reports of stores, or delivers them again.
   void setDropReports(bool lost) { drops_reports_ = lost; }
   /// Makes the leader preempt the run at the engine, as for an online request.
-  void preempt() { stores_[leader_].executor->giveWay(EngineId("e")); }
+  void preempt() { stores_[leader_].executor->preemptAt(EngineId("e")); }
   /// True if the engine has answered the given number of runs and none is in flight.
   bool isAnswered(std::size_t run) const { return runsAtEngine() >= run && runsInFlight() == 0; }
   std::size_t runsAtEngine() const { return engine_.requests().size(); }
