--- a/src/process/store/item_runner.cpp
+++ b/src/process/store/item_runner.cpp
@@ -191,7 +191,7 @@
   unreported_ends_.clear();
 }
 
-void ItemRunner::handBack() {
+void ItemRunner::abortAll() {
   for (const auto& [number, run] : runs_) {
     fleet::RunNews news = run->news;
     ++news.sequence;
--- a/src/process/store/item_runner.hpp
+++ b/src/process/store/item_runner.hpp
@@ -43,12 +43,12 @@
   /// Sends reports that are due, and aborts runs whose leader's lease has expired; call several times a second.
   void tick(Instant now);
   /// Aborts all runs and reports that to the leader, for a planned shutdown.
-  void handBack();
+  void abortAll();
   void closeIdle(const std::function<bool(const EngineId&)>& in_use) { engines_.closeIdle(in_use); }
 
   std::size_t running() const { return runs_.size(); }
   /// Number of engine answers that no leader has confirmed as stored.
-  std::size_t unkeptAnswers() const { return answers_.size(); }
+  std::size_t unconfirmedAnswers() const { return answers_.size(); }
 
  private:
   struct Run {
--- a/src/process/store/store_program.cpp
+++ b/src/process/store/store_program.cpp
@@ -275,7 +275,7 @@
   page.counter("hatchfork_item_failures_kept_total", "Failed runs counted for their items, at the leader.",
                static_cast<double>(counters.failures_kept));
   page.gauge("hatchfork_item_answers_unkept", "Answers against items heard here that no leader is known to have kept.",
-             static_cast<double>(runner_->unkeptAnswers()));
+             static_cast<double>(runner_->unconfirmedAnswers()));
   page.gauge("hatchfork_items_running", "Batch items in flight, at the leader.",
              static_cast<double>(executor_->running()));
   page.gauge("hatchfork_items_run_here", "Batch items that this store runs.", static_cast<double>(runner_->running()));
@@ -427,14 +427,15 @@
   logEvent(LogLevel::kInfo, "planned_stop_started", {{"running", executor_->running()}});
   stopping_ = true;
   updateLeading();
-  runner_->handBack();
+  runner_->abortAll();
   group_->transferLeadership();
   const Instant give_up = monotonicNow() + kLeadershipHandOverTime;
   while (group_->isConfirmedLeader() && monotonicNow() < give_up) co_await connection::sleepFor(fromMillis(20));
   // Answers that the new leader's first entries release still go out.
   co_await connection::sleepFor(fromMillis(100));
   const Instant answers_until = monotonicNow() + kAnswerHandOverTime;
-  while (runner_->unkeptAnswers() > 0 && monotonicNow() < answers_until) co_await connection::sleepFor(fromMillis(20));
+  while (runner_->unconfirmedAnswers() > 0 && monotonicNow() < answers_until)
+    co_await connection::sleepFor(fromMillis(20));
   context_.stop();
 }
 
--- a/tests/process/store/item_runner_test.cpp
+++ b/tests/process/store/item_runner_test.cpp
@@ -179,7 +179,7 @@
   RunnerFixture fixture(eventStream(/*whole=*/false));
   fixture.order(1, 7, 0);
   fixture.waitForNews(1);
-  fixture.runner().handBack();
+  fixture.runner().abortAll();
   REQUIRE(fixture.news().back().ended);
   REQUIRE(fixture.news().back().end == RunEnd::kBroken);
   REQUIRE(fixture.news().back().last_event == 4);
@@ -217,7 +217,7 @@
   RunnerFixture fixture("HTTP/1.1 " + answer + "\r\nX-Attempt-Id: item\r\nContent-Length: 0\r\n\r\n");
   fixture.order(1, 7, /*last_event=*/0);
   fixture.waitForNews(1);
-  REQUIRE(fixture.runner().unkeptAnswers() == 1);
+  REQUIRE(fixture.runner().unconfirmedAnswers() == 1);
   // The answer is retained while the leader is silent and across a change of leader.
   fixture.runner().tick(monotonicNow() + fromMillis(9000));
   const std::size_t before = fixture.reports().size();
@@ -233,7 +233,7 @@
   REQUIRE(reported.answers.front().item == "item");
   REQUIRE(reported.answers.front().end == end);
   fixture.runner().take(RunLease{ReplicaId("10.0.0.3"), 2, {}, {7}});
-  REQUIRE(fixture.runner().unkeptAnswers() == 0);
+  REQUIRE(fixture.runner().unconfirmedAnswers() == 0);
   fixture.runner().tick(monotonicNow() + fromMillis(9600));
   REQUIRE(fixture.reports().size() == before + 2);
 }
