--- a/src/process/store/crash_relay.hpp
+++ b/src/process/store/crash_relay.hpp
@@ -32,14 +32,16 @@
   void setNewsHandler(std::function<void()> on_news) { on_news_ = std::move(on_news); }
 
   /// Sets the aggregators of all zones, without this store.
-  void setHubs(std::vector<ReplicaId> aggregators) { aggregators_ = std::move(aggregators); }
+  void setAggregators(std::vector<ReplicaId> aggregators) { aggregators_ = std::move(aggregators); }
   /// Takes notes or a hello from a process. A hello subscribes the sender; if its digest differs from the one here, it
   /// is sent all that is recorded here and requested to do the same.
   void take(Instant now, const fleet::CrashNotesFrame& notes, const Receiver& from);
   /// Takes notes from the aggregator at which this store is subscribed.
   void takeAnswer(Instant now, const fleet::CrashNotesFrame& notes);
   /// Takes the crashes that are stored in the group's replicated log.
-  void takeKept(Instant now, const fleet::CrashNotesFrame& notes) { addNotes(watch_.take(now, notes), relayed_notes_); }
+  void takeStored(Instant now, const fleet::CrashNotesFrame& notes) {
+    addNotes(watch_.take(now, notes), relayed_notes_);
+  }
   /// Forwards the notes that were received here and those of this store itself since the last call.
   void flush();
   void drop(const void* connection) { receivers_.erase(connection); }
--- a/src/process/store/store_program.cpp
+++ b/src/process/store/store_program.cpp
@@ -181,7 +181,7 @@
   group_->setRetiring(std::set<ReplicaId>(view.retiring.begin(), view.retiring.end()));
   if (!view.store_group.members.empty()) group_->formWith(view.store_group);
   aggregator_.setStores(view.stores);
-  crash_relay_.setHubs(aggregator_.peers());
+  crash_relay_.setAggregators(aggregator_.peers());
   own_load_.setStores(view.stores);
   updateRateLimits(view);
   placement_.setEvacuated(now, view.evacuated.zones);
--- a/src/process/store/store_program_crashes.cpp
+++ b/src/process/store/store_program_crashes.cpp
@@ -38,7 +38,7 @@
     notes.crashes.push_back(
         {crash.content, crash.engine, std::max<std::int64_t>(0, wall - crash.ended_at), crash.ran_ms});
   }
-  crash_relay_.takeKept(now, notes);
+  crash_relay_.takeStored(now, notes);
 }
 
 /// An engine has ended whether or not the group agreed to keep it. Gateways serve before the stores have a leader: 0.4
--- a/tests/process/store/crash_relay_test.cpp
+++ b/tests/process/store/crash_relay_test.cpp
@@ -34,7 +34,7 @@
       aggregators_.push_back(std::make_unique<Aggregator>(*this, number));
       gateways_.push_back(std::make_unique<CrashWatch>("gateway-" + std::to_string(number)));
     }
-    for (const int number : {0, 1}) aggregators_[number]->relay.setHubs({ReplicaId(std::to_string(1 - number))});
+    for (const int number : {0, 1}) aggregators_[number]->relay.setAggregators({ReplicaId(std::to_string(1 - number))});
   }
 
   CrashWatch& gateway(int number) { return *gateways_[number]; }
