--- a/src/process/store/job_executor.cpp
+++ b/src/process/store/job_executor.cpp
@@ -53,7 +53,7 @@
       propose_(std::move(propose)),
       send_(std::move(send)),
       crashes_(crashes),
-      run_table_(options_.self, runTableLimits(options_.most_running)),
+      run_table_(options_.self, runTableLimits(options_.max_running)),
       selector_(options_.seed),
       split_(options_.seed),
       chains_(options_.seed) {}
--- a/src/process/store/job_executor.hpp
+++ b/src/process/store/job_executor.hpp
@@ -37,7 +37,7 @@
   std::uint64_t seed = 1;
   request::LoadFeatures load;
   /// Maximum number of items in flight at one store.
-  std::size_t most_running = 400;
+  std::size_t max_running = 400;
   /// A new leader starts no run before this time has passed, within which gateways find it and report their load.
   Duration start_delay = fromMillis(300);
 };
@@ -50,7 +50,7 @@
   std::uint64_t broken = 0;
   std::uint64_t preempted = 0;
   /// Number of failed runs that were counted against their items.
-  std::uint64_t failures_kept = 0;
+  std::uint64_t failures_stored = 0;
 };
 
 /// Schedules batch items while this process leads the store group: decides which items of the open jobs run, at which
@@ -103,7 +103,7 @@
   std::size_t waiting() const { return queue_.size() + parked_.size(); }
   const request::BatchTrough& trough() const { return trough_; }
   const std::set<ServiceId>& batchServices() const { return batch_services_; }
-  Duration wholeRunTime() const { return run_times_.wholeTime(); }
+  Duration estimatedRunTime() const { return run_times_.wholeTime(); }
 
  private:
   static constexpr Duration kPreemptionInterval = fromMillis(50);
--- a/src/process/store/job_executor_failures.cpp
+++ b/src/process/store/job_executor_failures.cpp
@@ -93,7 +93,7 @@
   if (job == nullptr || run->stopped || run->has_outcome) return;
   const auto stored = job->progress.find(run->item);
   if (stored != job->progress.end()) run->failures = stored->second.failures;
-  ++counters_.failures_kept;
+  ++counters_.failures_stored;
   const Route* route = routeOf(*job);
   const std::uint32_t max_attempts = route == nullptr ? 1 : std::max<std::uint32_t>(1, route->most_attempts);
   const bool attempts_used = route != nullptr && run->failures >= max_attempts;
--- a/src/process/store/store_program.cpp
+++ b/src/process/store/store_program.cpp
@@ -77,8 +77,8 @@
   executor_options.regions = settings_.zones;
   executor_options.seed = std::random_device()();
   executor_options.load = settings_.load;
-  executor_options.most_running =
-      std::min<std::size_t>(executor_options.most_running, settings_.memory_mb * kRunsPerMegabyte);
+  executor_options.max_running =
+      std::min<std::size_t>(executor_options.max_running, settings_.memory_mb * kRunsPerMegabyte);
   auto propose_command = [this](JobCommand command, std::function<void(bool)> done) {
     group_->propose(encodeTagged(command), kProposalTimeout, [done = std::move(done)](const ProposalOutcome& outcome) {
       done(outcome.result == ProposalResult::kApplied);
@@ -273,7 +273,7 @@
   items("broken", counters.broken);
   items("yielded", counters.preempted);
   page.counter("hatchfork_item_failures_kept_total", "Failed runs counted for their items, at the leader.",
-               static_cast<double>(counters.failures_kept));
+               static_cast<double>(counters.failures_stored));
   page.gauge("hatchfork_item_answers_unkept", "Answers against items heard here that no leader is known to have kept.",
              static_cast<double>(runner_->unconfirmedAnswers()));
   page.gauge("hatchfork_items_running", "Batch items in flight, at the leader.",
@@ -284,7 +284,7 @@
     const request::BatchTrough& trough = executor_->trough();
     page.gauge("hatchfork_batch_lasting_places",
                "Places that no expected rise of online requests takes, at the leader.",
-               trough.lastingPlaces(service, executor_->wholeRunTime()), {{"service", service.value}});
+               trough.lastingPlaces(service, executor_->estimatedRunTime()), {{"service", service.value}});
     page.gauge("hatchfork_batch_pressing", "How little slack waiting items have, from 0 to 1, at the leader.",
                trough.urgency(service), {{"service", service.value}});
   }
