--- a/src/process/exchange/gateway_program.hpp
+++ b/src/process/exchange/gateway_program.hpp
@@ -51,8 +51,8 @@
   connection::Awaitable<void> handleReadiness(const connection::HttpRequest& request,
                                               connection::ResponseWriter& writer);
   /// Returns the tenant of a request; null for an anonymous caller.
-  Result<const Tenant*> identifyCallerOf(const RouteTable& routes, bool allows_anonymous,
-                                         const connection::HttpRequest& request) const;
+  Result<const Tenant*> authenticateCaller(const RouteTable& routes, bool allows_anonymous,
+                                           const connection::HttpRequest& request) const;
   connection::Awaitable<void> handleJobCall(const JobCall& call, const RouteTable& routes,
                                             const connection::HttpRequest& request, connection::ResponseWriter& writer);
   /// Parks a request until `is_open` returns true. Returns false if the request was refused or its caller left.
--- a/src/process/exchange/gateway_program_metrics.cpp
+++ b/src/process/exchange/gateway_program_metrics.cpp
@@ -69,13 +69,13 @@
   page.counter("hatchfork_placements_total", "Attempts by the process that chose the engine.",
                static_cast<double>(placement.placed_locally), {{"by", "gateway"}});
   page.histogram("hatchfork_placement_wait_ms", "Wait for the answer of the placement store.", placement.wait);
-  const auto stood = [&page](const char* outcome, std::uint64_t value) {
+  const auto queued = [&page](const char* outcome, std::uint64_t value) {
     page.counter("hatchfork_line_requests_total", "Requests queued at the placement store, by outcome.",
                  static_cast<double>(value), {{"outcome", outcome}});
   };
-  stood("stood", placement.queued);
-  stood("refused", placement.refused);
-  stood("left_waiting", placement.unresolved);
+  queued("stood", placement.queued);
+  queued("refused", placement.refused);
+  queued("left_waiting", placement.unresolved);
   const RateLimitCounters& limits = rate_limits_.counters();
   const auto limited = [&page](const char* outcome, std::uint64_t value) {
     page.counter("hatchfork_rate_limit_total",
--- a/src/process/exchange/gateway_program_requests.cpp
+++ b/src/process/exchange/gateway_program_requests.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// Retry delay for a job whose allowed regions do not contain all stores. Resolving this takes an operator some time.
+/// Retry delay for a job whose allowed regions do not contain all stores. Operators have to move stores or change
+/// the regions, which takes long.
 constexpr Duration kRetryWhenStoresMoved = std::chrono::seconds(2);
 /// Time for which a configuration confirmed as the newest counts as current. Confirmations arrive every 300 ms.
 constexpr Duration kConfigurationCurrentFor = fromMillis(1500);
@@ -61,8 +62,8 @@
   co_await writer.send(std::move(response));
 }
 
-Result<const Tenant*> GatewayProgram::identifyCallerOf(const RouteTable& routes, bool allows_anonymous,
-                                                       const connection::HttpRequest& request) const {
+Result<const Tenant*> GatewayProgram::authenticateCaller(const RouteTable& routes, bool allows_anonymous,
+                                                         const connection::HttpRequest& request) const {
   return request::identifyCaller(routes, allows_anonymous, connection::bearerToken(request.header(kKeyHeader)));
 }
 
@@ -77,7 +78,7 @@
                                               const connection::HttpRequest& request,
                                               connection::ResponseWriter& writer) {
   const bool allows_anonymous = routes.allowsAnonymousJobs(hostName(request.header("Host")));
-  const Result<const Tenant*> caller = identifyCallerOf(routes, allows_anonymous, request);
+  const Result<const Tenant*> caller = authenticateCaller(routes, allows_anonymous, request);
   if (!isOk(caller)) {
     Error error = unlessCurrent(errorOf(caller));
     co_await refuse(request, writer, std::move(error));
@@ -131,7 +132,7 @@
     co_await refuse(request, writer, std::move(error));
     co_return;
   }
-  const Result<const Tenant*> caller = identifyCallerOf(*routes, route->allows_anonymous, request);
+  const Result<const Tenant*> caller = authenticateCaller(*routes, route->allows_anonymous, request);
   if (!isOk(caller)) {
     Error error = unlessCurrent(errorOf(caller));
     co_await refuse(request, writer, std::move(error));
