--- a/src/version/access_rights.cpp
+++ b/src/version/access_rights.cpp
@@ -23,7 +23,7 @@
   const TenantId& id = put != nullptr ? put->tenant.id : remove->id;
   const bool grants = put != nullptr && put->tenant.role != TenantRole::kTeam;
   if (!grants && presentRole(configuration, id) == TenantRole::kTeam) return okStatus();
-  return denied("an operator may not change tenant " + id.value + " of the role operator or admin", "ask an admin");
+  return denied("an operator may not change tenant " + id.value + " with the role operator or admin", "ask an admin");
 }
 
 Status checkTeamEdit(const Tenant& team, const ConfigurationEdit& edit) {
@@ -33,11 +33,11 @@
     only_keys_changed.key_hashes = put->tenant.key_hashes;
     if (nlohmann::json(only_keys_changed) == nlohmann::json(put->tenant)) return okStatus();
   }
-  return denied("the role team may change nothing but its own key_hashes", "ask an operator");
+  return denied("a tenant of the role team may change only its own key_hashes", "ask an operator");
 }
 
-/// The first admin must be able to come back: a change may not open the administration again, nor give keys to
-/// operators while it is open.
+/// Rejects changes that would leave no admin with a key and so open the administration again, and changes that give
+/// keys to operators while the administration is open.
 Status checkAdminRemains(const Configuration& configuration, const std::vector<ConfigurationEdit>& edits) {
   TenantTable tenants = configuration.tenants;
   for (const ConfigurationEdit& edit : edits) {
@@ -73,7 +73,8 @@
   if (!isAdministrationOpen(configuration)) {
     const Tenant* tenant = configuration.tenants.find(actor);
     if (tenant == nullptr) {
-      return denied("the change comes from no known tenant", "send it with the API key of an operator or an admin");
+      return denied("the change does not come from a known tenant",
+                    "send it with the API key of an operator or an admin");
     }
     for (const ConfigurationEdit& edit : edits) {
       Status status = okStatus();
--- a/src/version/batch_submission.hpp
+++ b/src/version/batch_submission.hpp
@@ -17,49 +17,50 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ItemHeader, name, value)
 
-/// A request that is run later.
+/// One request of a batch job, to be run later. Its content is not interpreted.
 struct OpaqueItem {
   /// Chosen by the submitter; unique within the job.
   std::string id;
   std::string target;
   std::vector<ItemHeader> headers;
   std::string body;
-  /// Prompt tokens and most tokens out together.
+  /// Prompt tokens plus the maximum number of output tokens.
   std::uint64_t tokens = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(OpaqueItem, id, target, headers, body, tokens)
 
-/// A whole job as submitted. The same identifier always names the same job.
+/// A complete job as submitted. Submitting again under the same identifier refers to the same job.
 struct JobSubmission {
   JobId id;
-  /// Whose key it was submitted with; nobody else sees it. Empty where the configuration has no tenants.
+  /// Tenant whose API key submitted the job; only this tenant may read the job. Empty if the configuration has no
+  /// tenants.
   TenantId tenant;
-  /// Host and path it was submitted to; they choose the route of its items.
+  /// Host and path of the submission; they select the route of the items.
   std::string host;
   std::string path;
-  /// Wall clock of the gateway that took it, less what the caller had waited before.
+  /// Wall clock of the accepting gateway, in milliseconds, minus the time that the caller had already waited.
   std::int64_t submitted_at = 0;
   std::vector<OpaqueItem> items;
 };
-/// Logs of older programs have no tenants.
+/// Defaults apply because logs of older releases have no tenants.
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(JobSubmission, id, tenant, host, path, submitted_at, items)
 
-/// How many tokens of open items of one tenant may wait on one route.
+/// Limit of the tokens of one tenant's unfinished items on one route.
 struct WaitingLimit {
   std::string host;
   std::string prefix;
-  /// Zero without a limit.
+  /// Maximum number of tokens; zero means unlimited.
   std::uint64_t most_tokens = 0;
-  /// Empty where the configuration has no tenants.
+  /// Empty if the configuration has no tenants.
   TenantId tenant;
 };
-/// Logs of older programs have no tenants.
+/// Defaults apply because logs of older releases have no tenants.
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(WaitingLimit, host, prefix, most_tokens, tenant)
 
 enum class ItemOutcome : std::uint8_t { kCompleted, kErrored };
 NLOHMANN_JSON_SERIALIZE_ENUM(ItemOutcome, {{ItemOutcome::kCompleted, 0}, {ItemOutcome::kErrored, 1}})
 
-/// One entry of a job's list of results; its position never changes.
+/// One entry of a job's list of results. Its position in the list never changes.
 struct ItemResult {
   std::string id;
   ItemOutcome outcome = ItemOutcome::kCompleted;
--- a/src/version/configuration.cpp
+++ b/src/version/configuration.cpp
@@ -7,14 +7,14 @@
 namespace hatchfork {
 namespace {
 
-constexpr std::size_t kLongestName = 128;
+constexpr std::size_t kMaxNameBytes = 128;
 
 Error invalid(std::string message, std::string remedy) {
   return Error{ErrorKind::kInvalidArgument, std::move(message), std::move(remedy), Executed::kNo, {}};
 }
 
 Status checkName(const std::string& what, const std::string& name) {
-  if (name.empty() || name.size() > kLongestName) {
+  if (name.empty() || name.size() > kMaxNameBytes) {
     return invalid(what + " name is empty or longer than 128 bytes", "choose a name of 1 to 128 bytes");
   }
   return okStatus();
@@ -46,7 +46,8 @@
   void operator()(const RemovePolicy& edit) const { configuration.policies.erase(edit.name); }
 };
 
-/// The state that some edits would give, without a copy of the document: what the edits put or removed, over the base.
+/// The state after some edits: the objects that the edits put or removed, overlaid on the base. Avoids a copy of the
+/// whole configuration.
 class EditOverlay {
  public:
   explicit EditOverlay(const Configuration& base) : base_(base) {}
@@ -54,11 +55,11 @@
   bool hasService(const ServiceId& id) const { return has(services_, base_.services, id); }
   bool hasPolicy(const std::string& name) const { return has(policies_, base_.policies, name); }
 
-  /// First engine that serves a service; null for none.
+  /// Returns the first engine that serves the service; null if there is none.
   const Engine* engineOf(const ServiceId& service) const {
     return firstOf(engines_, base_.engines, [&](const Engine& engine) { return engine.service == service; });
   }
-  /// First service that uses a policy; null for none.
+  /// Returns the first service that uses the policy; null if there is none.
   const Service* serviceUsing(const std::string& policy) const {
     return firstOf(services_, base_.services, [&](const Service& service) { return service.policy == policy; });
   }
@@ -75,7 +76,7 @@
   }
   void operator()(const RemoveTenant& edit) { removeTenant(edit.id); }
 
-  /// The tenant that holds a key; absent for a free one.
+  /// Returns the tenant that holds the key with this hash; empty if no tenant does.
   std::optional<TenantId> ownerOfKey(const std::string& hash) const {
     const auto changed = key_owners_.find(hash);
     if (changed != key_owners_.end()) return changed->second;
@@ -85,7 +86,7 @@
   }
 
  private:
-  /// Changed objects by name; empty where the object was removed.
+  /// Changed objects by name; the value is empty if the object was removed.
   template <class Key, class Value>
   using Changes = std::map<Key, std::optional<Value>>;
 
@@ -116,12 +117,12 @@
   Changes<ServiceId, Service> services_;
   Changes<EngineId, Engine> engines_;
   Changes<std::string, Policy> policies_;
-  /// Tenants put or removed, and the owners of the keys that they hold after that.
+  /// Tenants that were put or removed. `key_owners_` holds the keys that the changed tenants have after the edits.
   std::set<TenantId> changed_tenants_;
   std::map<std::string, TenantId> key_owners_;
 };
 
-/// Checks one edit against the state that the edits before it have produced.
+/// Checks one edit against the state after the preceding edits.
 struct EditChecker {
   const EditOverlay& configuration;
 
@@ -129,7 +130,7 @@
     Status name = checkName("service", edit.service.id.value);
     if (!isOk(name)) return name;
     if (!edit.service.policy.empty() && !configuration.hasPolicy(edit.service.policy)) {
-      return invalid("service " + edit.service.id.value + " names the unknown policy " + edit.service.policy,
+      return invalid("service " + edit.service.id.value + " refers to the unknown policy " + edit.service.policy,
                      "put the policy first or in the same change before the service");
     }
     return okStatus();
@@ -145,7 +146,7 @@
     Status name = checkName("engine", edit.engine.id.value);
     if (!isOk(name)) return name;
     if (!configuration.hasService(edit.engine.service)) {
-      return invalid("engine " + edit.engine.id.value + " names the unknown service " + edit.engine.service.value,
+      return invalid("engine " + edit.engine.id.value + " refers to the unknown service " + edit.engine.service.value,
                      "put the service first or in the same change before the engine");
     }
     if (edit.engine.port == 0 || edit.engine.host.empty()) {
@@ -162,7 +163,7 @@
       const bool hexadecimal = hash.find_first_not_of("0123456789abcdef") == std::string::npos;
       if (hash.size() != 64 || !hexadecimal) {
         return invalid("tenant " + edit.tenant.id.value + " has a key hash that is not SHA-256 in hexadecimal",
-                       "make it with: hatchfork ctl key hash");
+                       "create the hash with: hatchfork ctl key hash");
       }
       const std::optional<TenantId> owner = configuration.ownerOfKey(hash);
       if (owner && *owner != edit.tenant.id) {
--- a/src/version/configuration.hpp
+++ b/src/version/configuration.hpp
@@ -15,7 +15,7 @@
 
 namespace hatchfork {
 
-// One edit of the configuration. Each `Put` replaces the object of that name as a whole.
+// Edits of the configuration. Each `Put` adds the named object or replaces it as a whole.
 struct PutService {
   static constexpr std::string_view kKind = "put_service";
   Service service;
@@ -60,13 +60,13 @@
 using ConfigurationEdit =
     std::variant<PutService, RemoveService, PutEngine, RemoveEngine, PutTenant, RemoveTenant, PutPolicy, RemovePolicy>;
 
-/// An operator's change: edits that take effect together, on top of a named revision.
+/// A change by an operator: edits that take effect together, on top of `base_revision`.
 struct ConfigurationChange {
   ChangeId change_id;
   Revision base_revision = 0;
   /// Tenant whose API key was used; set by the replica that takes the change, empty while the administration is open.
   TenantId tenant;
-  /// The person or program, as it names itself.
+  /// Name of the person or program that made the change, as given by the client.
   std::string author;
   std::string reason;
   WallMillis proposed_at = 0;
@@ -87,13 +87,13 @@
 void from_json(const nlohmann::json& json, Configuration& configuration);
 
 nlohmann::json editsToJson(const std::vector<ConfigurationEdit>& edits);
-/// Throws a JSON exception for an unknown edit.
+/// Throws a JSON exception if an edit is of an unknown kind.
 std::vector<ConfigurationEdit> editsFromJson(const nlohmann::json& list);
 
-/// Checks a change against the configuration it is to be applied to: references, addresses, names, and that no key has
-/// two tenants. Policy syntax is checked by the caller. Nothing is modified.
+/// Validates edits against the configuration that they are to be applied to: references, addresses, names, and that no
+/// API key belongs to two tenants. Does not check the syntax of policies; the caller does.
 Status checkEdits(const Configuration& configuration, const std::vector<ConfigurationEdit>& edits);
-/// Applies checked edits and sets the revision.
+/// Applies edits that `checkEdits` has accepted, and sets the revision.
 void applyEdits(Configuration& configuration, const std::vector<ConfigurationEdit>& edits, Revision revision);
 
 }  // namespace hatchfork
--- a/src/version/configuration_diff.cpp
+++ b/src/version/configuration_diff.cpp
@@ -27,7 +27,7 @@
   }
 }
 
-/// The tenants of a shard that the other table's shard does not share.
+/// Returns the tenants of a shard whose objects are not shared with the other table's shard.
 std::map<TenantId, Tenant> unsharedTenants(const TenantTable::Shard& shard, const TenantTable::Shard& other) {
   std::map<TenantId, Tenant> unshared;
   for (const TenantTable::TenantPtr& tenant : shard) {
@@ -36,7 +36,7 @@
   return unshared;
 }
 
-/// Revisions share what they have not changed, so this costs little however many tenants there are.
+/// Skips shards that both revisions share, so the cost follows the number of changed tenants, not of all tenants.
 void compareTenants(const TenantTable& before, const TenantTable& after, std::vector<ObjectDifference>& differences) {
   std::map<TenantId, Tenant> old_tenants;
   std::map<TenantId, Tenant> new_tenants;
@@ -50,7 +50,7 @@
   compareObjects("tenant", old_tenants, new_tenants, differences);
 }
 
-/// Puts back the object that the map holds under a key, or removes it where there is none.
+/// Returns the edit that restores the object under `key`, or removes the key if `objects` has none.
 template <class Put, class Remove, class Key, class Value>
 ConfigurationEdit restore(const std::map<Key, Value>& objects, const Key& key) {
   const auto found = objects.find(key);
--- a/src/version/configuration_diff.hpp
+++ b/src/version/configuration_diff.hpp
@@ -8,24 +8,24 @@
 
 namespace hatchfork {
 
-/// One configured object that is not the same in two configurations.
+/// One configured object that differs between two configurations.
 struct ObjectDifference {
   /// "service", "engine", "tenant" or "policy".
   std::string type;
   std::string name;
-  /// Null where the object is absent.
+  /// Null if the object is absent; the same holds for `after`.
   nlohmann::json before;
   nlohmann::json after;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ObjectDifference, type, name, before, after)
 
-/// All objects that differ, by type and name.
+/// Returns all objects that differ, in order of type (service, engine, tenant, policy) and name.
 std::vector<ObjectDifference> compareConfigurations(const Configuration& before, const Configuration& after);
 
-/// The kind and the object's name, for example "put_engine engine-1".
+/// Returns the kind of the edit and the name of the object, for example "put_engine engine-1".
 std::string describeEdit(const ConfigurationEdit& edit);
 
-/// Edits that take `edits` back once these have been applied to `configuration`.
+/// Returns edits that undo `edits` once they have been applied to `configuration`.
 std::vector<ConfigurationEdit> inverseOf(const Configuration& configuration,
                                          const std::vector<ConfigurationEdit>& edits);
 
--- a/src/version/configuration_transfer.cpp
+++ b/src/version/configuration_transfer.cpp
@@ -6,7 +6,8 @@
 namespace hatchfork {
 namespace {
 
-/// About 200 KB at one key a tenant: a page is encoded or decoded in a few milliseconds, so heartbeats are not late.
+/// Gives pages of about 200 KB at one key per tenant. A page of this size is encoded or decoded in a few milliseconds,
+/// so the transfer does not delay heartbeats.
 constexpr std::size_t kTenantsPerPage = 800;
 
 }  // namespace
@@ -34,8 +35,8 @@
 
 const std::string& ConfigurationPages::page(std::uint32_t first_shard) {
   const std::uint32_t start = std::min(first_shard, TenantTable::kShards);
-  const auto known = encoded_.find(start);
-  if (known != encoded_.end()) return known->second;
+  const auto cached = encoded_.find(start);
+  if (cached != encoded_.end()) return cached->second;
   return encoded_.emplace(start, encodeStruct(build(start))).first->second;
 }
 
--- a/src/version/dialect.hpp
+++ b/src/version/dialect.hpp
@@ -12,33 +12,33 @@
 #include "version/engine_record.hpp"
 #include "version/route_table.hpp"
 
-/// What differs between the platforms that hatchfork runs on: names of headers, paths of calls and formats of
-/// documents. An implementation only translates; it decides nothing and keeps no state.
+/// Interface of the platforms that hatchfork runs on, which differ in the names of headers, the paths of calls and the
+/// formats of documents. An implementation only translates; it makes no decisions and keeps no state.
 namespace hatchfork {
 
-/// Names of the header fields of requests and answers.
+/// Names of the header fields of requests and responses.
 struct HeaderNames {
-  /// Identifies one try of a caller; echoed in the engine's answer.
+  /// Identifies one attempt of a caller; echoed in the engine's response.
   std::string request_id;
-  /// Milliseconds that the caller or the gateway will still wait.
+  /// Remaining time of the caller's or the gateway's deadline, in milliseconds.
   std::string remaining_ms;
-  /// The engine that a request is meant for; any other declines it.
+  /// Engine that the request is sent to; any other engine declines the request.
   std::string expected_engine;
-  /// Marks an engine's answer to a request that it did not run.
+  /// Marks the response of an engine that did not run the request.
   std::string not_executed;
-  /// Proves that an answer is an engine's own.
+  /// Authenticates a response as sent by the engine itself.
   std::string answer_seal;
-  /// "running,waiting,slots" of the answering engine.
+  /// "running,waiting,slots" of the responding engine.
   std::string engine_load;
   /// Parts of the prompt as "identifier:tokens", joined by commas.
   std::string prompt_parts;
-  /// "prompt tokens,most tokens out".
+  /// "prompt tokens,maximum output tokens".
   std::string token_usage;
-  /// Event after which a stream goes on.
+  /// Last event that the caller received; a resumed stream continues after it.
   std::string last_event_id;
-  /// How long a read may be held.
+  /// Longest time that a read may wait for new data (long polling), in milliseconds.
   std::string wait_ms;
-  /// Tells an engine which tenant a request belongs to.
+  /// Tenant that the request belongs to, sent to the engine.
   std::string tenant;
 };
 
@@ -57,7 +57,7 @@
 struct GetRetirementCall {
   std::string node;
 };
-/// Nothing more is to be sent to the engines of the zone.
+/// Stops sending requests to the engines of the zone.
 struct StartEvacuationCall {
   ZoneId zone;
 };
@@ -68,7 +68,7 @@
 using ControlCall = std::variant<UnknownCall, PutDocumentCall, GetDocumentCall, EngineBeatCall, EngineGoneCall,
                                  StartRetirementCall, GetRetirementCall, StartEvacuationCall, EndEvacuationCall>;
 
-// Calls of job owners to a gateway, besides the submission.
+// Calls of job owners to a gateway, other than the submission.
 struct ReadResultsCall {
   JobId job;
   std::uint64_t from = 0;
@@ -82,23 +82,24 @@
 };
 using JobCall = std::variant<UnknownCall, ReadResultsCall, ReadItemCall, EndJobCall>;
 
-/// Part of a job's list of results.
+/// One page of a job's list of results.
 struct ResultsPage {
   std::uint64_t total = 0;
+  /// Position at which the next page begins.
   std::uint64_t next = 0;
   std::vector<ItemResult> results;
 };
 
-/// Stateless; may be used on any thread.
+/// Translates between the platform's formats and the program's types. Stateless; may be used on any thread.
 class Dialect {
  public:
   virtual ~Dialect() = default;
 
   virtual const HeaderNames& headers() const = 0;
-  /// Path that tells whether a gateway is ready.
+  /// Path of the readiness check of a gateway.
   virtual std::string_view readinessPath() const = 0;
 
-  /// Reads a whole document of routes; `kInvalidArgument` for a document that is not valid.
+  /// Parses a complete document of routes; returns `kInvalidArgument` if the document is not valid.
   virtual Result<std::shared_ptr<const RouteTable>> parseRoutes(std::string_view document) const = 0;
 
   virtual ControlCall controlCall(std::string_view method, std::string_view target) const = 0;
@@ -107,7 +108,7 @@
   virtual std::string retirementAnswer(bool complete) const = 0;
 
   virtual JobCall jobCall(std::string_view method, std::string_view target) const = 0;
-  /// Fills identifier and items of a submission.
+  /// Parses a submission; fills only its identifier and items.
   virtual Result<JobSubmission> parseJob(std::string_view body) const = 0;
   virtual std::string resultsAnswer(const ResultsPage& page) const = 0;
 };
--- a/src/version/engine_changes.hpp
+++ b/src/version/engine_changes.hpp
@@ -10,16 +10,17 @@
 
 namespace hatchfork {
 
-/// How the engines of the fleet differ from what their receiver holds. Everything that knows engines takes these, so
-/// that one changed engine costs one engine, not a walk over all.
+/// Changes of the fleet's engines since the receiver's last update. Each table of engines is updated by these
+/// changes, so that the cost follows the number of changed engines and not of all engines.
 struct EngineChanges {
-  /// True: what is not named here is gone. False: what is not named here stands.
+  /// True for a full list: engines that are not in `present` are removed. False for an incremental update: all other
+  /// engines stay unchanged.
   bool is_whole = false;
   std::vector<EngineRecord> present;
   std::vector<EngineId> removed;
 
   bool isEmpty() const { return !is_whole && present.empty() && removed.empty(); }
-  /// Adds changes that were made after these.
+  /// Appends later changes to these.
   void append(EngineChanges later) {
     if (later.is_whole) {
       *this = std::move(later);
@@ -33,7 +34,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(EngineChanges, is_whole, present, removed)
 
-/// Changes after which these engines are known, and no others.
+/// Returns a full list: after these changes the receiver has exactly these engines.
 inline EngineChanges wholeListOf(std::vector<EngineRecord> engines) {
   return EngineChanges{true, std::move(engines), {}};
 }
--- a/src/version/evacuated_zones.hpp
+++ b/src/version/evacuated_zones.hpp
@@ -8,7 +8,7 @@
 
 namespace hatchfork {
 
-/// The zones whose engines are to get no work, as operators ordered. A higher revision is a newer state of them.
+/// Zones that operators have evacuated: their engines receive no requests. A higher revision is a newer state.
 struct EvacuatedZones {
   std::uint64_t revision = 0;
   std::set<ZoneId> zones;
--- a/src/version/gateway_version.hpp
+++ b/src/version/gateway_version.hpp
@@ -12,18 +12,18 @@
 
 namespace hatchfork {
 
-/// Everything a traffic thread needs of one configuration revision, built once by the control thread and then
-/// immutable.
+/// All data of one configuration revision that traffic threads use. Built once by the control thread, then immutable.
 class GatewayVersion {
  public:
-  /// `leaving` names engines that the platform list gives as leaving or gone.
+  /// `leaving` lists the engines that the platform reports as shutting down or gone.
   GatewayVersion(std::shared_ptr<const Configuration> configuration, std::vector<request::LiveGateway> gateways,
                  const std::vector<EngineId>& leaving);
 
   const Configuration& configuration() const { return *configuration_; }
-  /// The tenant that holds the API key; `kUnauthenticated` for an unknown one. An empty key is taken as missing.
+  /// Returns the tenant that holds the API key; `kUnauthenticated` if the key is unknown or empty.
   Result<const Tenant*> tenantOfKey(std::string_view key) const;
-  /// The service of a `model` value if the tenant may call it; `kNotFound` or `kPermissionDenied`.
+  /// Returns the service named by a `model` value. `kNotFound` if there is none, `kPermissionDenied` if the tenant may
+  /// not call the service.
   Result<const Service*> serviceFor(const Tenant& tenant, const std::string& model) const;
   const std::vector<request::ServiceFleetPtr>& fleets() const { return fleets_; }
   std::uint32_t liveGatewayCount() const { return live_gateway_count_; }
--- a/src/version/release.hpp
+++ b/src/version/release.hpp
@@ -8,31 +8,33 @@
 
 #include "common/ids.hpp"
 
-/// Which release a process runs. Old and new processes work side by side while machines are replaced one after the
-/// other, so a process says to a peer only what that peer can read.
+/// Release numbers of processes. Old and new releases run side by side during a rolling upgrade, so a process sends a
+/// peer only what the release of that peer can decode.
 namespace hatchfork {
 
-/// Rises with each release that adds kinds of frames, kinds of log records or state that its forerunner can't read.
+/// Increases with each release that adds kinds of frames, kinds of log records or state that the previous release can't
+/// decode.
 using ReleaseNumber = std::uint32_t;
 
-/// Of a process that tells none: a release from before they were told, or a peer that nobody has heard of yet.
+/// Release of a process that reports none: a release older than release numbers, or a peer that has not reported yet.
 inline constexpr ReleaseNumber kUntoldRelease = 0;
-/// Of this program.
+/// Release of this program.
 inline constexpr ReleaseNumber kThisRelease = 1;
 
-/// What is known of the releases of a set of peers. No I/O, no clock.
+/// Last reported releases of a set of peers. No I/O, no clock.
 class PeerReleases {
  public:
-  /// The last word of a peer holds: it may also go back to an older release.
+  /// Records the release that a peer reports. The last report counts, because a peer may be rolled back to an older
+  /// release.
   void note(const ReplicaId& peer, ReleaseNumber release) { releases_[peer] = release; }
   void forget(const ReplicaId& peer) { releases_.erase(peer); }
 
-  /// `kUntoldRelease` for a peer that was not heard of.
+  /// Returns `kUntoldRelease` for a peer that has not reported.
   ReleaseNumber of(const ReplicaId& peer) const {
     const auto found = releases_.find(peer);
     return found == releases_.end() ? kUntoldRelease : found->second;
   }
-  /// What all these peers can read; `kUntoldRelease` for no peers, of whom nothing is known.
+  /// Returns the lowest release of the peers, which all of them can decode; `kUntoldRelease` if `peers` is empty.
   ReleaseNumber leastOf(const std::vector<ReplicaId>& peers) const {
     if (peers.empty()) return kUntoldRelease;
     ReleaseNumber least = std::numeric_limits<ReleaseNumber>::max();
--- a/src/version/route_table.cpp
+++ b/src/version/route_table.cpp
@@ -43,7 +43,7 @@
   for (RoutedService& service : services) {
     const ServiceId id = service.id;
     if (!table->services_.emplace(id, std::move(service)).second) {
-      return invalid("service " + id.value + " is named twice", "name each service once");
+      return invalid("service " + id.value + " is listed twice", "list each service once");
     }
   }
   Result<TenantTable> tenant_table = buildTenantTable(std::move(tenants));
@@ -55,7 +55,7 @@
     const Route& route = table->routes_[position];
     if (!table->index_[route.host].emplace(route.prefix, position).second) {
       return invalid(fmt::format("two routes have host {} and prefix {}", route.host, route.prefix),
-                     "give each route a host and prefix of its own");
+                     "give each route a unique pair of host and prefix");
     }
   }
   return std::shared_ptr<const RouteTable>(std::move(table));
@@ -63,7 +63,7 @@
 
 Status RouteTable::check() const {
   for (const Route& route : routes_) {
-    if (route.host.empty()) return invalid("route " + route.name + " has no host", "name its host");
+    if (route.host.empty()) return invalid("route " + route.name + " has no host", "set the host of the route");
     if (route.prefix.empty() || route.prefix.front() != '/' || route.prefix.back() != '/') {
       return invalid("route " + route.name + " has a malformed prefix", "begin and end the prefix with a slash");
     }
@@ -75,8 +75,8 @@
     }
     for (const WeightedService& part : route.split) {
       if (!services_.contains(part.service)) {
-        return invalid(fmt::format("route {} names the unknown service {}", route.name, part.service.value),
-                       "add the service, or mend the name");
+        return invalid(fmt::format("route {} refers to the unknown service {}", route.name, part.service.value),
+                       "add the service, or correct its name in the route");
       }
     }
   }
@@ -86,7 +86,7 @@
 const Route* RouteTable::find(std::string_view host, std::string_view path) const {
   const auto of_host = index_.find(host);
   if (of_host == index_.end()) return nullptr;
-  // Every prefix ends with a slash, so only the parts of the path up to a slash can be one; the longest goes first.
+  // Every prefix ends with a slash, so only the parts of the path that end with a slash are looked up, longest first.
   for (std::size_t end = path.rfind('/'); end != std::string_view::npos; end = path.rfind('/', end - 1)) {
     const auto found = of_host->second.find(path.substr(0, end + 1));
     if (found != of_host->second.end()) return &routes_[found->second];
--- a/src/version/route_table.hpp
+++ b/src/version/route_table.hpp
@@ -15,79 +15,79 @@
 
 namespace hatchfork {
 
-/// What may be repeated of the requests on a route.
+/// Kind of the requests on a route; determines whether they may be repeated.
 enum class RouteKind {
   /// May run more than once.
   kSafe,
   /// Runs at most once for each request.
   kUnsafe,
-  /// Answered by a stream of events; unsafe unless the route is resumable.
+  /// The response is a stream of events; unsafe unless the route is resumable.
   kStream,
   /// Takes batch jobs whose items run later.
   kBatch,
 };
 std::string_view toString(RouteKind kind);
 
-/// One of the services that a route is split over.
+/// One of the services that the traffic of a route is split between.
 struct WeightedService {
   ServiceId service;
   std::uint32_t weight = 1;
 };
 
-/// Sends requests of one host whose path begins with a prefix to services.
+/// Maps the requests of one host whose path begins with a prefix to services.
 struct Route {
   std::string name;
   std::string host;
   /// Begins and ends with a slash.
   std::string prefix;
   RouteKind kind = RouteKind::kUnsafe;
-  /// Longest that a request is held.
+  /// Maximum total time of a request.
   Duration timeout{};
-  /// Time within which an answer (a stream's first event, a job's acceptance) has its full worth.
+  /// Latency objective of the response (of a stream's first event, of a job's acceptance).
   Duration objective{};
-  /// Longest pause between two events of a stream at which it is still in time.
+  /// Latency objective between two events of a stream.
   Duration event_gap{};
-  /// Most engines that one request may be sent to, or that one batch item may fail at.
+  /// Maximum number of engines that one request may be sent to, or that one batch item may fail on.
   std::uint32_t most_attempts = 1;
   /// Zero is the most urgent.
   std::uint32_t priority = 0;
   std::vector<WeightedService> split;
-  /// Streams may be resumed at another engine.
+  /// True if streams may be resumed on another engine.
   bool resumable = false;
-  /// Requests need no API key, also where the document has tenants.
+  /// True if requests need no API key, even if the document has tenants.
   bool allows_anonymous = false;
-  /// Requests that share a prompt prefix should meet the same engines.
+  /// True if requests that share a prompt prefix should be routed to the same engines.
   bool prefix_affinity = false;
-  /// Batch only: when the results are due, counted from the job's first send.
+  /// Batch only: when the results are due, counted from the job's first submission.
   Duration completion_target{};
-  /// Batch only: when an item may be given up, counted from the job's first send.
+  /// Batch only: when an unfinished item may be dropped, counted from the job's first submission.
   Duration retention{};
-  /// Batch only: the most tokens of open items that may wait on the route, for each tenant; zero without a limit.
+  /// Batch only: maximum number of tokens of unfinished items on the route, per tenant; zero means unlimited.
   std::uint64_t most_waiting_tokens = 0;
-  /// Regions whose machines may serve, run or keep its requests; empty for all.
+  /// Regions whose machines may serve, run or store the requests; empty means all regions.
   std::set<RegionId> allowed_regions;
 
-  /// True if a request may run at a second engine after it may have run at a first.
+  /// True if a request may run on another engine after it may have run on a first one.
   bool isRepeatable() const { return kind == RouteKind::kSafe || (kind == RouteKind::kStream && resumable); }
 };
 
-/// A set of engines that run the same thing.
+/// A set of interchangeable engines.
 struct RoutedService {
   ServiceId id;
   std::string health_path;
-  /// Connections that one engine takes from all callers together.
+  /// Maximum number of connections that one engine accepts from all gateways together.
   std::uint32_t most_connections = 0;
-  /// Requests that one engine runs at once; zero where it is not told.
+  /// Maximum number of concurrent requests of one engine; zero if not configured.
   std::uint32_t slots = 0;
-  /// Tokens of key-value memory of one engine; zero for services that run no model.
+  /// Capacity of one engine's key-value cache, in tokens; zero for services that run no model.
   std::uint64_t memory_tokens = 0;
-  /// How long an engine stays cold after its start.
+  /// Warm-up time of an engine after its start.
   Duration cold_time{};
-  /// Requests a second that a cold engine bears from all callers together; zero without a bound.
+  /// Requests per second that a cold engine sustains from all gateways together; zero means unlimited.
   double cold_requests_per_second = 0;
 };
 
-/// Bounds on what callers may send.
+/// Limits on the size and the timing of requests from callers.
 struct CallerLimits {
   std::uint32_t most_header_bytes = 16384;
   std::uint64_t most_body_bytes = 4u << 20;
@@ -100,9 +100,9 @@
 class RouteTable {
  public:
   RouteTable() = default;
-  /// Checks the parts and builds the index. `kInvalidArgument` for a route to an unknown service, two routes with the
-  /// same host and prefix, a malformed prefix, a time-out of zero, weights that sum to zero, or tenants that
-  /// `buildTenantTable` refuses.
+  /// Validates the arguments and builds the index. Returns `kInvalidArgument` for a route to an unknown service, two
+  /// routes with the same host and prefix, a malformed prefix, a time-out of zero, weights that sum to zero, or tenants
+  /// that `buildTenantTable` rejects.
   static Result<std::shared_ptr<const RouteTable>> build(std::uint64_t version, std::vector<Route> routes,
                                                          std::vector<RoutedService> services, CallerLimits limits,
                                                          std::vector<Tenant> tenants = {});
@@ -110,11 +110,11 @@
   std::uint64_t version() const { return version_; }
   const std::vector<Route>& routes() const { return routes_; }
   const CallerLimits& limits() const { return limits_; }
-  /// Without any, requests need no API key.
+  /// If the table is empty, requests need no API key.
   const TenantTable& tenants() const { return tenants_; }
-  /// The route of `host` with the longest prefix that begins `path`; null if there is none.
+  /// Returns the route of `host` with the longest prefix that `path` begins with; null if there is none.
   const Route* find(std::string_view host, std::string_view path) const;
-  /// True if some batch route of the host needs no API key.
+  /// True if at least one batch route of the host needs no API key.
   bool allowsAnonymousJobs(std::string_view host) const;
   const std::map<ServiceId, RoutedService>& services() const { return services_; }
   /// Null for an unknown service.
@@ -128,7 +128,7 @@
   std::map<ServiceId, RoutedService> services_;
   CallerLimits limits_;
   TenantTable tenants_;
-  /// host -> prefix -> position in `routes_`.
+  /// Host -> prefix -> position in `routes_`.
   std::map<std::string, std::map<std::string, std::size_t, std::less<>>, std::less<>> index_;
 };
 
--- a/src/version/tenant_table.cpp
+++ b/src/version/tenant_table.cpp
@@ -27,27 +27,27 @@
 }
 
 Status checkTenant(const TenantTable& others, const Tenant& tenant) {
-  if (tenant.id.empty()) return invalid("a tenant has no name", "name each tenant");
+  if (tenant.id.empty()) return invalid("a tenant has no name", "give each tenant a name");
   const std::string& name = tenant.id.value;
-  if (others.find(tenant.id) != nullptr) return invalid("tenant " + name + " is named twice", "name each tenant once");
+  if (others.find(tenant.id) != nullptr) return invalid("tenant " + name + " is listed twice", "list each tenant once");
   const TenantLimits& limits = tenant.limits;
   if (!(limits.online_requests_per_second >= 0)) {
-    return invalid("the rate of tenant " + name + " is below zero", "give a rate above zero, or zero for no limit");
+    return invalid("the rate of tenant " + name + " is negative", "give a rate above zero, or zero for no limit");
   }
   if (!(limits.online_burst >= 0)) {
-    return invalid("the burst of tenant " + name + " is below zero", "give a burst of zero or more");
+    return invalid("the burst of tenant " + name + " is negative", "give a burst of zero or more");
   }
   for (const std::string& hash : tenant.key_hashes) {
     const Tenant* holder = others.findByKeyHash(hash);
     if (holder != nullptr) {
-      return invalid("tenant " + name + " has a key that tenant " + holder->id.value + " holds",
+      return invalid("tenant " + name + " has a key that tenant " + holder->id.value + " already holds",
                      "give each tenant keys of its own");
     }
   }
   return okStatus();
 }
 
-/// The part to change: itself where no other table shares it, else a copy.
+/// Returns the part for modification; replaces it by a copy first if another table shares it.
 template <class Part>
 Part& detach(std::shared_ptr<Part>& part) {
   if (!part) {
@@ -55,7 +55,7 @@
   } else if (part.use_count() > 1) {
     part = std::make_shared<Part>(*part);
   } else {
-    // A thread that shared the part has let go of it; its reads come before the change.
+    // Another thread may have just released its reference; the fence orders its reads before the modification.
     std::atomic_thread_fence(std::memory_order_acquire);
   }
   return *part;
--- a/tests/version/access_rights_test.cpp
+++ b/tests/version/access_rights_test.cpp
@@ -41,7 +41,7 @@
   CHECK(isAdministrationOpen(configuration));
   CHECK(refusal(configuration, "", PutService{}) == kAllowed);
   CHECK(refusal(configuration, "", PutTenant{makeTenant("root", TenantRole::kAdmin, "k")}) == kAllowed);
-  // Operators' keys without an admin would look as if the administration were closed.
+  // An operator's key without an admin's would suggest that the administration is closed, while it is still open.
   CHECK(refusal(configuration, "", PutTenant{makeTenant("ops", TenantRole::kOperator, "k")}) ==
         ErrorKind::kInvalidArgument);
   configuration.tenants.put(makeTenant("root", TenantRole::kAdmin, ""));
--- a/tests/version/configuration_diff_test.cpp
+++ b/tests/version/configuration_diff_test.cpp
@@ -36,7 +36,7 @@
   CHECK(compareConfigurations(after, after).empty());
 }
 
-TEST_CASE("the inverse of edits takes them back", "[configuration]") {
+TEST_CASE("the inverse of edits undoes them", "[configuration]") {
   Configuration base;
   base.engines.emplace(EngineId("a"), makeEngine("a", 8));
   base.engines.emplace(EngineId("b"), makeEngine("b", 8));
--- a/tests/version/release_test.cpp
+++ b/tests/version/release_test.cpp
@@ -4,18 +4,18 @@
 
 using namespace hatchfork;
 
-TEST_CASE("The least release of peers is what all of them can read", "[release]") {
+TEST_CASE("the lowest release of peers is the release that all of them can decode", "[release]") {
   const ReplicaId first("10.0.0.1");
   const ReplicaId second("10.0.0.2");
   PeerReleases releases;
   CHECK(releases.leastOf({}) == kUntoldRelease);
   releases.note(first, 3);
   CHECK(releases.leastOf({first}) == 3);
-  // Nothing is known of a peer that was not heard of.
+  // The release of a peer that has not reported is unknown.
   CHECK(releases.leastOf({first, second}) == kUntoldRelease);
   releases.note(second, 2);
   CHECK(releases.leastOf({first, second}) == 2);
-  // A machine may go back to the release before.
+  // A machine may be rolled back to an older release.
   releases.note(first, 1);
   CHECK(releases.leastOf({first, second}) == 1);
   releases.forget(first);
--- a/tests/version/route_table_test.cpp
+++ b/tests/version/route_table_test.cpp
@@ -37,7 +37,7 @@
   REQUIRE(table->find("a.example", "") == nullptr);
 }
 
-TEST_CASE("a document that is not valid is refused with its reason", "[routes]") {
+TEST_CASE("an invalid document is rejected with the reason", "[routes]") {
   const auto refused = [](std::vector<Route> routes, const std::string& word) {
     const auto built = build(std::move(routes));
     REQUIRE_FALSE(isOk(built));
--- a/tests/version/tenant_table_test.cpp
+++ b/tests/version/tenant_table_test.cpp
@@ -40,7 +40,7 @@
   CHECK(visited == 999);
 }
 
-TEST_CASE("a change of one copy of the table leaves the other as it was", "[tenants]") {
+TEST_CASE("a change of one copy of the table does not affect the other", "[tenants]") {
   TenantTable first;
   first.put(tenantWithKey("a", "key-a"));
   first.put(tenantWithKey("b", "key-b"));
@@ -60,19 +60,19 @@
   CHECK(second.keyHolders(TenantRole::kAdmin) == 0);
 }
 
-TEST_CASE("a key has one tenant", "[tenants]") {
+TEST_CASE("a key belongs to at most one tenant", "[tenants]") {
   Configuration configuration;
   applyEdits(configuration, {PutTenant{tenantWithKey("a", "shared")}}, 1);
-  const PutTenant taker{tenantWithKey("b", "shared")};
-  CHECK_FALSE(isOk(checkEdits(configuration, {taker})));
-  CHECK_FALSE(isOk(checkEdits(Configuration(), {PutTenant{tenantWithKey("a", "shared")}, taker})));
+  const PutTenant second_owner{tenantWithKey("b", "shared")};
+  CHECK_FALSE(isOk(checkEdits(configuration, {second_owner})));
+  CHECK_FALSE(isOk(checkEdits(Configuration(), {PutTenant{tenantWithKey("a", "shared")}, second_owner})));
   CHECK(isOk(checkEdits(configuration, {PutTenant{tenantWithKey("a", "shared")}})));
-  CHECK(isOk(checkEdits(configuration, {RemoveTenant{TenantId("a")}, taker})));
-  CHECK(isOk(checkEdits(configuration, {PutTenant{tenantWithKey("a", "other")}, taker})));
+  CHECK(isOk(checkEdits(configuration, {RemoveTenant{TenantId("a")}, second_owner})));
+  CHECK(isOk(checkEdits(configuration, {PutTenant{tenantWithKey("a", "other")}, second_owner})));
 }
 
 }  // namespace
-TEST_CASE("tenants that share a key, a name or a limit below zero are refused by name", "[tenants]") {
+TEST_CASE("tenants with a shared key, a repeated name or a negative limit are rejected by name", "[tenants]") {
   const auto tenant = [](const std::string& name, const std::string& key) {
     Tenant made;
     made.id = TenantId(name);
@@ -95,7 +95,7 @@
   CHECK_FALSE(isOk(buildTenantTable({negative})));
 }
 
-TEST_CASE("an API key leads to its tenant, and no error holds one", "[tenants]") {
+TEST_CASE("an API key identifies its tenant, and no error contains the key", "[tenants]") {
   Tenant crew;
   crew.id = TenantId("crew");
   crew.key_hashes = {sha256Hex("first"), sha256Hex("second")};
