--- a/src/process/fleet/engine_watch.cpp
+++ b/src/process/fleet/engine_watch.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-std::optional<RegisterEngine> EngineWatch::take(Instant now, const EngineBeat& beat, const FleetState& state) {
+std::optional<RegisterEngine> EngineWatch::take(Instant now, const EngineHeartbeat& beat, const FleetState& state) {
   if (state.hasDeparted(beat.engine.id, beat.engine.born)) return std::nullopt;
   const auto known = state.engines().find(beat.engine.id);
   const WallMillis known_born = known == state.engines().end() ? 0 : known->second.born;
--- a/src/process/fleet/engine_watch.hpp
+++ b/src/process/fleet/engine_watch.hpp
@@ -17,7 +17,7 @@
   explicit EngineWatch(Duration beat_interval) : beat_interval_(beat_interval) {}
 
   /// Takes a beat; returns the command that must be committed before it is acknowledged, if any.
-  std::optional<RegisterEngine> take(Instant now, const EngineBeat& beat, const FleetState& state);
+  std::optional<RegisterEngine> take(Instant now, const EngineHeartbeat& beat, const FleetState& state);
   /// Another control process heard these engines lately itself.
   void hearOf(Instant now, const std::vector<EngineId>& engines);
   /// Engines that this process heard itself since it was asked last: each beat is passed on once, so that telling costs
--- a/src/process/fleet/operator_api.cpp
+++ b/src/process/fleet/operator_api.cpp
@@ -49,7 +49,7 @@
   const ControlCall call = context_.dialect.controlCall(request.method, request.target);
   if (std::holds_alternative<PutDocumentCall>(call)) co_return co_await putDocument(request);
   if (std::holds_alternative<GetDocumentCall>(call)) co_return co_await getDocument();
-  if (const auto* beat = std::get_if<EngineBeatCall>(&call)) co_return co_await takeBeat(*beat, request);
+  if (const auto* beat = std::get_if<EngineHeartbeatCall>(&call)) co_return co_await takeBeat(*beat, request);
   if (const auto* gone = std::get_if<EngineGoneCall>(&call)) co_return co_await engineGone(*gone);
   if (const auto* start = std::get_if<StartRetirementCall>(&call)) co_return co_await startRetirement(*start);
   if (const auto* get = std::get_if<GetRetirementCall>(&call)) co_return co_await getRetirement(*get);
@@ -111,8 +111,8 @@
   co_return connection::jsonResponse(200, state.document());
 }
 
-Awaitable<HttpResponse> OperatorApi::takeBeat(const EngineBeatCall& call, const connection::HttpRequest& request) {
-  const Result<EngineBeat> beat = context_.dialect.parseBeat(call.engine, request.body);
+Awaitable<HttpResponse> OperatorApi::takeBeat(const EngineHeartbeatCall& call, const connection::HttpRequest& request) {
+  const Result<EngineHeartbeat> beat = context_.dialect.parseHeartbeat(call.engine, request.body);
   if (!isOk(beat)) {
     ++context_.entries_refused;
     logEvent(LogLevel::kWarning, "engine_entry_refused",
@@ -135,7 +135,7 @@
               {"outcome", resultName(outcome.result)}});
     if (outcome.result != ProposalResult::kApplied) co_return notCertain("no quorum has confirmed the beat yet");
   }
-  co_return connection::jsonResponse(200, context_.dialect.beatAnswer());
+  co_return connection::jsonResponse(200, context_.dialect.heartbeatResponse());
 }
 
 Awaitable<HttpResponse> OperatorApi::engineGone(const EngineGoneCall& call) {
--- a/src/process/fleet/operator_api.hpp
+++ b/src/process/fleet/operator_api.hpp
@@ -48,7 +48,7 @@
   connection::Awaitable<connection::HttpResponse> respond(const connection::HttpRequest& request);
   connection::Awaitable<connection::HttpResponse> putDocument(const connection::HttpRequest& request);
   connection::Awaitable<connection::HttpResponse> getDocument();
-  connection::Awaitable<connection::HttpResponse> takeBeat(const EngineBeatCall& call,
+  connection::Awaitable<connection::HttpResponse> takeBeat(const EngineHeartbeatCall& call,
                                                            const connection::HttpRequest& request);
   connection::Awaitable<connection::HttpResponse> engineGone(const EngineGoneCall& call);
   connection::Awaitable<connection::HttpResponse> startRetirement(const StartRetirementCall& call);
--- a/src/version/dialect.hpp
+++ b/src/version/dialect.hpp
@@ -45,7 +45,7 @@
 // Calls of operators and engines to the control plane.
 struct PutDocumentCall {};
 struct GetDocumentCall {};
-struct EngineBeatCall {
+struct EngineHeartbeatCall {
   EngineId engine;
 };
 struct EngineGoneCall {
@@ -65,7 +65,7 @@
   ZoneId zone;
 };
 struct UnknownCall {};
-using ControlCall = std::variant<UnknownCall, PutDocumentCall, GetDocumentCall, EngineBeatCall, EngineGoneCall,
+using ControlCall = std::variant<UnknownCall, PutDocumentCall, GetDocumentCall, EngineHeartbeatCall, EngineGoneCall,
                                  StartRetirementCall, GetRetirementCall, StartEvacuationCall, EndEvacuationCall>;
 
 // Calls of job owners to a gateway, other than the submission.
@@ -103,8 +103,8 @@
   virtual Result<std::shared_ptr<const RouteTable>> parseRoutes(std::string_view document) const = 0;
 
   virtual ControlCall controlCall(std::string_view method, std::string_view target) const = 0;
-  virtual Result<EngineBeat> parseBeat(const EngineId& engine, std::string_view body) const = 0;
-  virtual std::string beatAnswer() const = 0;
+  virtual Result<EngineHeartbeat> parseHeartbeat(const EngineId& engine, std::string_view body) const = 0;
+  virtual std::string heartbeatResponse() const = 0;
   virtual std::string retirementAnswer(bool complete) const = 0;
 
   virtual JobCall jobCall(std::string_view method, std::string_view target) const = 0;
--- a/src/version/engine_record.hpp
+++ b/src/version/engine_record.hpp
@@ -64,7 +64,7 @@
 }
 
 /// A heartbeat of an engine.
-struct EngineBeat {
+struct EngineHeartbeat {
   EngineRecord engine;
   /// Increases with each heartbeat of an incarnation, so that delayed heartbeats can be detected.
   std::uint64_t sequence = 0;
--- a/tests/platform/engine_entry_test.cpp
+++ b/tests/platform/engine_entry_test.cpp
@@ -23,7 +23,7 @@
   nlohmann::json entry = soundEntry();
   REQUIRE(valueOf(readEngineEntry(kEngine, entry.dump())).engine.born == 1796253392211);
   for (const char* name : {"born", "Version", "ColdRemainingMs", "New"}) entry.erase(name);
-  const Result<EngineBeat> beat = readEngineEntry(kEngine, entry.dump());
+  const Result<EngineHeartbeat> beat = readEngineEntry(kEngine, entry.dump());
   REQUIRE(isOk(beat));
   REQUIRE(valueOf(beat).engine.born == 0);
   REQUIRE(valueOf(beat).engine.slots == 12);
@@ -33,7 +33,7 @@
   const nlohmann::json wrong[] = {
       nullptr, true, -1, 0, 2.5, "", "4", nlohmann::json::array({1}), nlohmann::json::object(), 18446744073709551615u};
   const auto refusal = [](const nlohmann::json& entry, const std::string& name) {
-    const Result<EngineBeat> beat = readEngineEntry(kEngine, entry.dump());
+    const Result<EngineHeartbeat> beat = readEngineEntry(kEngine, entry.dump());
     CAPTURE(entry.dump());
     REQUIRE_FALSE(isOk(beat));
     REQUIRE(errorOf(beat).kind == ErrorKind::kInvalidArgument);
@@ -61,7 +61,7 @@
 
 TEST_CASE("whatever bytes come, an entry is read whole or refused", "[platform][entry][property]") {
   rc::check([](const std::string& bytes) {
-    const Result<EngineBeat> beat = readEngineEntry(kEngine, bytes);
+    const Result<EngineHeartbeat> beat = readEngineEntry(kEngine, bytes);
     RC_ASSERT(!isOk(beat));
   });
   const std::string sound = soundEntry().dump();
@@ -73,7 +73,7 @@
     for (int byte = 0; byte < 256; byte += 3) {
       std::string changed = sound;
       changed[at] = static_cast<char>(byte);
-      const Result<EngineBeat> beat = readEngineEntry(kEngine, changed);
+      const Result<EngineHeartbeat> beat = readEngineEntry(kEngine, changed);
       if (!isOk(beat)) continue;
       const EngineRecord& engine = valueOf(beat).engine;
       REQUIRE(engine.slots > 0);
--- a/tests/platform/platform_dialect_test.cpp
+++ b/tests/platform/platform_dialect_test.cpp
@@ -64,7 +64,7 @@
   const auto call = [](const char* method, const char* target) { return dialect()->controlCall(method, target); };
   REQUIRE(std::holds_alternative<PutDocumentCall>(call("PUT", "/v1/config")));
   REQUIRE(std::holds_alternative<GetDocumentCall>(call("GET", "/v1/config?x=1")));
-  REQUIRE(std::get<EngineBeatCall>(call("PUT", "/v1/instances/i-1")).engine == EngineId("i-1"));
+  REQUIRE(std::get<EngineHeartbeatCall>(call("PUT", "/v1/instances/i-1")).engine == EngineId("i-1"));
   REQUIRE(std::get<EngineGoneCall>(call("DELETE", "/v1/instances/i-1")).engine == EngineId("i-1"));
   REQUIRE(std::get<StartRetirementCall>(call("POST", "/v1/retire/n")).node == "n");
   REQUIRE(std::get<GetRetirementCall>(call("GET", "/v1/retire/n")).node == "n");
@@ -77,19 +77,19 @@
 }
 
 TEST_CASE("beats are read whole or refused", "[platform]") {
-  const auto beat = dialect()->parseBeat(
+  const auto beat = dialect()->parseHeartbeat(
       EngineId("i-1"),
       R"({"Service":"s","Address":"10.0.0.9:80","Zone":"z","Slots":12,"State":"draining","Sequence":4,"New":1})");
   REQUIRE(isOk(beat));
   REQUIRE(valueOf(beat).engine.leaving);
   REQUIRE(valueOf(beat).engine.slots == 12);
   REQUIRE(valueOf(beat).sequence == 4);
-  const auto cold = dialect()->parseBeat(
+  const auto cold = dialect()->parseHeartbeat(
       EngineId("i-1"),
       R"({"Service":"s","Address":"10.0.0.9:80","Zone":"z","Slots":1,"State":"ready","Sequence":4,"ColdRemainingMs":850.5})");
   REQUIRE(valueOf(cold).engine.cold_ms == 850);
-  REQUIRE_FALSE(isOk(dialect()->parseBeat(EngineId("i-1"), R"({"Service":"s"})")));
-  REQUIRE_FALSE(isOk(dialect()->parseBeat(EngineId("i-1"), "{")));
+  REQUIRE_FALSE(isOk(dialect()->parseHeartbeat(EngineId("i-1"), R"({"Service":"s"})")));
+  REQUIRE_FALSE(isOk(dialect()->parseHeartbeat(EngineId("i-1"), "{")));
 }
 
 TEST_CASE("job calls and documents are translated both ways", "[platform]") {
--- a/tests/process/fleet/fleet_state_test.cpp
+++ b/tests/process/fleet/fleet_state_test.cpp
@@ -27,8 +27,8 @@
   return made;
 }
 
-EngineBeat beat(const EngineRecord& record, std::uint64_t sequence) {
-  return EngineBeat{record, sequence};
+EngineHeartbeat beat(const EngineRecord& record, std::uint64_t sequence) {
+  return EngineHeartbeat{record, sequence};
 }
 
 }  // namespace
