--- a/src/process/fleet/crash_watch.cpp
+++ b/src/process/fleet/crash_watch.cpp
@@ -87,7 +87,7 @@
 void CrashWatch::noteCrash(Instant now, Instant began_at, const RequestFingerprint& content, const EngineId& engine,
                            WallMillis born) {
   const bool is_serving = !is_serving_ || is_serving_(engine);
-  const EngineId life = nameOfLife(engine, born);
+  const EngineId life = incarnationId(engine, born);
   const bool is_new = is_serving && ledger_.noteCrash(now, now - began_at, content, life);
   const CrashVerdict verdict = judge(content);
   logEvent(LogLevel::kInfo, "crash_noted",
--- a/src/process/fleet/engine_watch.cpp
+++ b/src/process/fleet/engine_watch.cpp
@@ -20,11 +20,11 @@
   const WallMillis known_born = known == state.engines().end() ? 0 : known->second.born;
   // A late beat of a life that is over changes nothing; which life is the newest one is agreed on, not what was heard
   // here.
-  if (compareLives(beat.engine.born, known_born) == LifeOrder::kOlder) return std::nullopt;
+  if (compareIncarnations(beat.engine.born, known_born) == IncarnationOrder::kOlder) return std::nullopt;
   Heard& heard = heard_[beat.engine.id];
-  const LifeOrder order = compareLives(beat.engine.born, heard.born);
-  if (order == LifeOrder::kOlder) return std::nullopt;
-  const bool late = order == LifeOrder::kSame && heard.sequence > beat.sequence;
+  const IncarnationOrder order = compareIncarnations(beat.engine.born, heard.born);
+  if (order == IncarnationOrder::kOlder) return std::nullopt;
+  const bool late = order == IncarnationOrder::kSame && heard.sequence > beat.sequence;
   if (!late) {
     heard = Heard{now, now, beat.engine.born, beat.sequence};
     heard_since_.push_back(beat.engine.id);
@@ -33,7 +33,7 @@
     if (!beat.engine.leaving && isAddressTaken(now, beat.engine, state)) return std::nullopt;
     return RegisterEngine{beat.engine};
   }
-  if (compareLives(beat.engine.born, known_born) == LifeOrder::kNewer) return RegisterEngine{beat.engine};
+  if (compareIncarnations(beat.engine.born, known_born) == IncarnationOrder::kNewer) return RegisterEngine{beat.engine};
   const bool starts_leaving = beat.engine.leaving && !known->second.leaving;
   EngineRecord as_known = beat.engine;
   if (as_known.born == 0) as_known.born = known_born;
--- a/src/process/fleet/fleet_state.cpp
+++ b/src/process/fleet/fleet_state.cpp
@@ -65,10 +65,10 @@
   const auto known = engines_.find(engine.id);
   EngineRecord next = engine;
   if (known != engines_.end()) {
-    const LifeOrder order = compareLives(engine.born, known->second.born);
-    if (order == LifeOrder::kOlder) return false;
+    const IncarnationOrder order = compareIncarnations(engine.born, known->second.born);
+    if (order == IncarnationOrder::kOlder) return false;
     // A newer life has not said that it leaves.
-    if (order == LifeOrder::kSame) next.leaving = next.leaving || known->second.leaving;
+    if (order == IncarnationOrder::kSame) next.leaving = next.leaving || known->second.leaving;
     if (next.born == 0) next.born = known->second.born;
     if (known->second == next) return false;
   }
@@ -127,7 +127,7 @@
   const auto former = former_at_address_.find(engine.address);
   if (former == former_at_address_.end()) return false;
   const auto life = former->second.find(engine.id);
-  return life != former->second.end() && compareLives(engine.born, life->second) != LifeOrder::kNewer;
+  return life != former->second.end() && compareIncarnations(engine.born, life->second) != IncarnationOrder::kNewer;
 }
 
 void FleetState::noteFormer(const EngineRecord& engine) {
--- a/src/request/exchange/engine_selector.cpp
+++ b/src/request/exchange/engine_selector.cpp
@@ -49,7 +49,8 @@
 EngineState* EngineSelector::engineOf(const Ticket& ticket) {
   const auto found = engines_.find(ticket.engine);
   if (found == engines_.end()) return nullptr;
-  return compareLives(ticket.born, found->second.record.born) == LifeOrder::kSame ? &found->second : nullptr;
+  return compareIncarnations(ticket.born, found->second.record.born) == IncarnationOrder::kSame ? &found->second
+                                                                                                : nullptr;
 }
 
 TicketId EngineSelector::begin(Instant now, const EngineId& engine, const EngineQuery& query) {
--- a/src/request/exchange/engine_selector_engines.cpp
+++ b/src/request/exchange/engine_selector_engines.cpp
@@ -26,7 +26,7 @@
   if (!is_new) {
     removeFromPool(state);
     // A new incarnation has none of the requests, loads, prefixes and outcomes of the previous one.
-    if (compareLives(record.born, state.record.born) != LifeOrder::kSame) state = EngineState{};
+    if (compareIncarnations(record.born, state.record.born) != IncarnationOrder::kSame) state = EngineState{};
   }
   if (record.cold_ms != state.record.cold_ms) state.cold_until = now + fromMillis(record.cold_ms);
   state.record = record;
--- a/src/version/engine_record.hpp
+++ b/src/version/engine_record.hpp
@@ -49,17 +49,17 @@
 }
 
 /// Order of two incarnations of an engine with the same identifier.
-enum class LifeOrder { kSame, kNewer, kOlder };
+enum class IncarnationOrder { kSame, kNewer, kOlder };
 
 /// Compares the start time of an incarnation with that of a recorded incarnation. Returns `kSame` if either start time
 /// is not reported (zero), because the two can't be distinguished then.
-inline LifeOrder compareLives(WallMillis born, WallMillis known_born) {
-  if (born == known_born || born == 0 || known_born == 0) return LifeOrder::kSame;
-  return born > known_born ? LifeOrder::kNewer : LifeOrder::kOlder;
+inline IncarnationOrder compareIncarnations(WallMillis born, WallMillis known_born) {
+  if (born == known_born || born == 0 || known_born == 0) return IncarnationOrder::kSame;
+  return born > known_born ? IncarnationOrder::kNewer : IncarnationOrder::kOlder;
 }
 
 /// Returns an identifier of one incarnation, so that two exits of the same engine are distinct.
-inline EngineId nameOfLife(const EngineId& engine, WallMillis born) {
+inline EngineId incarnationId(const EngineId& engine, WallMillis born) {
   return born == 0 ? engine : EngineId(engine.value + "@" + std::to_string(born));
 }
 
