--- a/src/process/fleet/control_program.cpp
+++ b/src/process/fleet/control_program.cpp
@@ -162,7 +162,7 @@
 ReleaseNumber ControlProgram::leastControlRelease() const {
   std::vector<ReplicaId> others = knownControls();
   std::erase(others, settings_.self());
-  return std::min(kThisRelease, releases_.leastOf(others));
+  return std::min(kThisRelease, releases_.lowestOf(others));
 }
 
 void ControlProgram::updateContacts() {
--- a/src/process/fleet/feed_client.cpp
+++ b/src/process/fleet/feed_client.cpp
@@ -213,7 +213,7 @@
 }
 
 ReleaseNumber leastReleaseOf(const std::vector<StoreAddress>& stores) {
-  return std::min(kThisRelease, releasesOf(stores).leastOf(addressesOf(stores)));
+  return std::min(kThisRelease, releasesOf(stores).lowestOf(addressesOf(stores)));
 }
 
 std::vector<ReplicaId> addressesOf(const std::vector<StoreAddress>& stores) {
--- a/src/process/fleet/fleet_messages.hpp
+++ b/src/process/fleet/fleet_messages.hpp
@@ -70,10 +70,10 @@
 
 /// The field of a frame that tells a release; absent where none is told.
 inline void writeRelease(nlohmann::json& json, ReleaseNumber release) {
-  if (release != kUntoldRelease) json["release"] = release;
+  if (release != kUnknownRelease) json["release"] = release;
 }
 inline ReleaseNumber readRelease(const nlohmann::json& json) {
-  return json.value("release", kUntoldRelease);
+  return json.value("release", kUnknownRelease);
 }
 
 /// What a store tells of itself.
@@ -87,7 +87,7 @@
   /// At the leader of the store group: its committed membership, and the term in which it leads.
   std::optional<consensus::Membership> membership;
   std::uint64_t term = 0;
-  ReleaseNumber release = kUntoldRelease;
+  ReleaseNumber release = kUnknownRelease;
 };
 inline void to_json(nlohmann::json& json, const StorePresence& presence) {
   json = nlohmann::json{{"node", presence.node},     {"address", presence.address},
@@ -160,8 +160,8 @@
 struct StoreAddress {
   ReplicaId address;
   ZoneId zone;
-  /// As the store told it; `kUntoldRelease` where a control process of an older release is between.
-  ReleaseNumber release = kUntoldRelease;
+  /// As the store told it; `kUnknownRelease` where a control process of an older release is between.
+  ReleaseNumber release = kUnknownRelease;
   auto operator<=>(const StoreAddress&) const = default;
 };
 inline void to_json(nlohmann::json& json, const StoreAddress& store) {
--- a/src/process/fleet/store_directory.cpp
+++ b/src/process/fleet/store_directory.cpp
@@ -38,7 +38,7 @@
   recalled_ = std::move(stores);
   recalled_at_ = now;
   // The store may run another release by now.
-  for (StoreAddress& store : recalled_) store.release = kUntoldRelease;
+  for (StoreAddress& store : recalled_) store.release = kUnknownRelease;
 }
 
 bool StoreDirectory::isHeardDirectly(Instant now, const ReplicaId& store) const {
--- a/src/version/release.hpp
+++ b/src/version/release.hpp
@@ -17,7 +17,7 @@
 using ReleaseNumber = std::uint32_t;
 
 /// Release of a process that reports none: a release older than release numbers, or a peer that has not reported yet.
-inline constexpr ReleaseNumber kUntoldRelease = 0;
+inline constexpr ReleaseNumber kUnknownRelease = 0;
 /// Release of this program.
 inline constexpr ReleaseNumber kThisRelease = 1;
 
@@ -29,14 +29,14 @@
   void note(const ReplicaId& peer, ReleaseNumber release) { releases_[peer] = release; }
   void forget(const ReplicaId& peer) { releases_.erase(peer); }
 
-  /// Returns `kUntoldRelease` for a peer that has not reported.
+  /// Returns `kUnknownRelease` for a peer that has not reported.
   ReleaseNumber of(const ReplicaId& peer) const {
     const auto found = releases_.find(peer);
-    return found == releases_.end() ? kUntoldRelease : found->second;
+    return found == releases_.end() ? kUnknownRelease : found->second;
   }
-  /// Returns the lowest release of the peers, which all of them can decode; `kUntoldRelease` if `peers` is empty.
-  ReleaseNumber leastOf(const std::vector<ReplicaId>& peers) const {
-    if (peers.empty()) return kUntoldRelease;
+  /// Returns the lowest release of the peers, which all of them can decode; `kUnknownRelease` if `peers` is empty.
+  ReleaseNumber lowestOf(const std::vector<ReplicaId>& peers) const {
+    if (peers.empty()) return kUnknownRelease;
     ReleaseNumber least = std::numeric_limits<ReleaseNumber>::max();
     for (const ReplicaId& peer : peers) least = std::min(least, of(peer));
     return least;
--- a/tests/process/fleet/frame_reader_test.cpp
+++ b/tests/process/fleet/frame_reader_test.cpp
@@ -75,8 +75,8 @@
                                                                                      {"term", 0}}})}}));
   REQUIRE(isOk(subscribe));
   const auto& frame = std::get<SubscribeFrame>(*valueOf(subscribe));
-  CHECK(frame.release == kUntoldRelease);
-  CHECK(frame.store.at(0).release == kUntoldRelease);
+  CHECK(frame.release == kUnknownRelease);
+  CHECK(frame.store.at(0).release == kUnknownRelease);
 }
 
 TEST_CASE("A value of an outcome from a later release is no promise", "[upgrade]") {
@@ -92,9 +92,9 @@
   StoreDirectory directory;
   const Instant now{};
   directory.hear(now, presenceOf("10.0.0.1", 1));
-  directory.hearOf(now + fromMillis(100), {presenceOf("10.0.0.1", kUntoldRelease)});
+  directory.hearOf(now + fromMillis(100), {presenceOf("10.0.0.1", kUnknownRelease)});
   CHECK(directory.addresses().at(0).release == 1);
   // Once the store has gone elsewhere, the lesser word is the safe one.
-  directory.hearOf(now + std::chrono::seconds(3), {presenceOf("10.0.0.1", kUntoldRelease)});
-  CHECK(directory.addresses().at(0).release == kUntoldRelease);
+  directory.hearOf(now + std::chrono::seconds(3), {presenceOf("10.0.0.1", kUnknownRelease)});
+  CHECK(directory.addresses().at(0).release == kUnknownRelease);
 }
--- a/tests/process/fleet/store_directory_test.cpp
+++ b/tests/process/fleet/store_directory_test.cpp
@@ -30,7 +30,7 @@
   CHECK(directory.addresses() == std::vector<StoreAddress>{address("10.0.0.1", "a"), address("10.0.0.2", "b")});
   CHECK(directory.stores().empty());
   directory.recall(kStart, {StoreAddress{ReplicaId("10.0.0.1"), ZoneId("a"), kThisRelease}});
-  CHECK(directory.addresses().front().release == kUntoldRelease);
+  CHECK(directory.addresses().front().release == kUnknownRelease);
   CHECK(directory.heardDirectly(kStart).empty());
 }
 
