--- a/src/version/engine_record.hpp
+++ b/src/version/engine_record.hpp
@@ -53,9 +53,9 @@
 
 /// Compares the start time of an incarnation with that of a recorded incarnation. Returns `kSame` if either start time
 /// is not reported (zero), because the two can't be distinguished then.
-inline IncarnationOrder compareIncarnations(WallMillis born, WallMillis known_born) {
-  if (born == known_born || born == 0 || known_born == 0) return IncarnationOrder::kSame;
-  return born > known_born ? IncarnationOrder::kNewer : IncarnationOrder::kOlder;
+inline IncarnationOrder compareIncarnations(WallMillis born, WallMillis recorded_born) {
+  if (born == recorded_born || born == 0 || recorded_born == 0) return IncarnationOrder::kSame;
+  return born > recorded_born ? IncarnationOrder::kNewer : IncarnationOrder::kOlder;
 }
 
 /// Returns an identifier of one incarnation, so that two exits of the same engine are distinct.
