--- a/src/process/consensus/log.cpp
+++ b/src/process/consensus/log.cpp
@@ -18,7 +18,7 @@
 /// Payloads from this size on are worth releasing.
 constexpr std::size_t kReleasedBytes = 1024;
 /// A batch's buffer is kept for the next one up to this size.
-constexpr std::size_t kMostSpareBytes = 64 * 1024;
+constexpr std::size_t kMaxSpareBytes = 64 * 1024;
 
 std::string segmentName(std::uint64_t number) {
   return fmt::format("{}{:020}", kSegmentPrefix, number);
@@ -84,7 +84,8 @@
   const Result<ScannedRecords> scanned = scanRecords(bytes, path);
   if (!isOk(scanned)) return errorOf(scanned);
   const ScannedRecords& records = valueOf(scanned);
-  if (records.torn_tail && !last) return storageCorruptError(path, "a segment that was closed ends in a cut record");
+  if (records.torn_tail && !last)
+    return storageCorruptError(path, "a segment that was closed ends in a truncated record");
   if (records.torn_tail) {
     const Status cut = disk_.replace(path, std::string_view(bytes).substr(0, records.whole_bytes));
     if (!isOk(cut)) return cut;
@@ -95,7 +96,7 @@
     Result<LogEntry> entry = decodeStruct<LogEntry>(body);
     if (!isOk(entry)) return storageCorruptError(path, "a record is not a log entry: " + errorOf(entry).message);
     segment.highest_index = std::max(segment.highest_index, valueOf(entry).index);
-    Held held;
+    StoredEntry held;
     held.entry = valueOf(std::move(entry));
     held.file = file;
     held.offset = static_cast<std::uint64_t>(body.data() - bytes.data());
@@ -109,12 +110,12 @@
   return okStatus();
 }
 
-void Log::releasePayload(Held& held) {
+void Log::releasePayload(StoredEntry& held) {
   releaseMemory(held.entry.payload);
   held.released = true;
 }
 
-Status Log::place(Held held, const std::string& file) {
+Status Log::place(StoredEntry held, const std::string& file) {
   const LogEntry& entry = held.entry;
   if (entries_.empty() && entry.index != first_index_) {
     first_index_ = entry.index;
@@ -132,26 +133,26 @@
 }
 
 Result<LogEntry> Log::read(LogIndex index) const {
-  const Held& held = entries_[index - first_index_];
+  const StoredEntry& held = entries_[index - first_index_];
   if (!held.released) return held.entry;
   const Result<std::string> body = disk_.readRange(*held.file, held.offset, held.bytes);
   if (!isOk(body)) return errorOf(body);
   Result<LogEntry> entry = decodeStruct<LogEntry>(valueOf(body));
   const bool same = isOk(entry) && valueOf(entry).index == index && valueOf(entry).term == held.entry.term;
-  if (!same) return storageCorruptError(*held.file, "a record that was whole before cannot be read again");
+  if (!same) return storageCorruptError(*held.file, "a record that was intact before cannot be read again");
   return entry;
 }
 
 void Log::release(LogIndex index) {
   const LogIndex last = std::min({index, synced_index_, lastIndex()});
   for (LogIndex at = std::max(released_to_ + 1, first_index_); at <= last; ++at) {
-    Held& held = entries_[at - first_index_];
+    StoredEntry& held = entries_[at - first_index_];
     if (isWorthReleasing(held.entry) && held.file && !held.released) releasePayload(held);
   }
   released_to_ = std::max(released_to_, last);
 }
 
-void Log::locatePending(const Segment& segment) {
+void Log::setPendingOffsets(const Segment& segment) {
   const auto file = std::make_shared<const std::string>(segment.name);
   for (auto held = entries_.rbegin(); held != entries_.rend() && !held->file; ++held) {
     held->file = file;
@@ -177,7 +178,7 @@
 
 std::size_t Log::payloadBytesHeld() const {
   std::size_t bytes = pending_.size();
-  for (const Held& held : entries_) bytes += held.entry.payload.size();
+  for (const StoredEntry& held : entries_) bytes += held.entry.payload.size();
   return bytes;
 }
 
@@ -199,7 +200,7 @@
   entries_.resize(entry.index - first_index_);
   const std::string body = encodeStruct(entry);
   appendRecord(pending_, body);
-  Held held;
+  StoredEntry held;
   held.entry = std::move(entry);
   held.offset = pending_.size() - body.size();
   held.bytes = body.size();
@@ -223,10 +224,10 @@
     fail(errorOf(written));
     return;
   }
-  locatePending(segment);
+  setPendingOffsets(segment);
   segment.bytes += pending_.size();
   segment.highest_index = std::max(segment.highest_index, lastIndex());
-  pending_.capacity() > kMostSpareBytes ? releaseMemory(pending_) : pending_.clear();
+  pending_.capacity() > kMaxSpareBytes ? releaseMemory(pending_) : pending_.clear();
   batch_running_ = true;
   batch_end_ = lastIndex();
   disk_.sync(segment.name, [self = std::weak_ptr<Log*>(self_)](const Status& status) {
@@ -260,7 +261,7 @@
   synced_index_ = base;
   batch_end_ = 0;
   segment_open_ = false;
-  // Newest first: what a crash leaves behind ends before the snapshot, and is dropped at the next start.
+  // Newest first: the segments that a crash leaves behind end before the snapshot, and are dropped at the next start.
   while (!segments_.empty()) {
     const Status removed = disk_.remove(segments_.back().name);
     if (!isOk(removed)) return removed;
@@ -274,7 +275,7 @@
   base_term_ = termAt(index - 1);
   entries_.erase(entries_.begin(), entries_.begin() + static_cast<std::ptrdiff_t>(index - first_index_));
   first_index_ = index;
-  // The next entries get a new segment, so that this one can go as a whole later.
+  // The next entries get a new segment, so that this one can be removed as a whole later.
   segment_open_ = false;
   while (segments_.size() > 1 && segments_.front().highest_index < index) {
     const Status removed = disk_.remove(segments_.front().name);
--- a/src/process/consensus/log_entry.hpp
+++ b/src/process/consensus/log_entry.hpp
@@ -11,7 +11,7 @@
 enum class EntryKind : std::uint8_t {
   /// A command of the state machine.
   kCommand,
-  /// The empty entry that opens a leadership; once committed, the leader knows what is committed.
+  /// The empty entry that a new leader appends; once it is committed, so are all entries of earlier terms before it.
   kLeadership,
   /// An encoded `Membership`, in force from the moment it is appended.
   kMembership,
--- a/src/process/consensus/membership.hpp
+++ b/src/process/consensus/membership.hpp
@@ -9,18 +9,18 @@
 
 namespace hatchfork::consensus {
 
-/// A replica as messages and votes know it: the same name with another incarnation is another replica.
+/// Identifies a replica in messages and votes: the same name with another incarnation is another replica.
 struct Identity {
   ReplicaId id;
   Incarnation incarnation = 0;
   auto operator<=>(const Identity&) const = default;
 };
 
-/// The entry for `identity`; null where the membership does not name exactly this incarnation.
+/// Returns the entry for `identity`; null if the membership does not name exactly this incarnation.
 const Member* findMember(const Membership& membership, const Identity& identity);
 const Member* findMember(const Membership& membership, const ReplicaId& id);
 bool isVoter(const Membership& membership, const Identity& identity);
-/// Voters needed for an election or a commit.
+/// Number of voters needed for an election or a commit.
 std::size_t quorumSize(const Membership& membership);
 
 /// Checks that `target` differs from `current` in one member and at most one voter, so that any two quorums of both
@@ -31,12 +31,12 @@
 /// The memberships named in the log: each is in force from its entry on, whether committed or not.
 class MembershipHistory {
  public:
-  /// `base` is in force up to and including `index`.
+  /// Restarts the history with `base`, in force up to and including `index`.
   void reset(LogIndex index, Membership base);
   void append(LogIndex index, Membership membership);
-  /// Forgets memberships from entries at `index` and above, which were replaced.
+  /// Drops memberships from entries at `index` and above, which were replaced.
   void truncateFrom(LogIndex index);
-  /// Forgets what lies before the membership in force at `index`.
+  /// Drops memberships before the membership in force at `index`.
   void compactTo(LogIndex index);
   const Membership& latest() const { return steps_.back().membership; }
   LogIndex latestIndex() const { return steps_.back().index; }
--- a/src/process/consensus/membership_plan.cpp
+++ b/src/process/consensus/membership_plan.cpp
@@ -63,7 +63,7 @@
     for (const Candidate& candidate : input_.candidates) {
       const Member* member = findMember(input_.current, candidate.id);
       if (member == nullptr || member->incarnation == candidate.incarnation) continue;
-      // An announcement of the former self may still be in flight while the new self answers.
+      // An announcement of the former incarnation may still be in flight while the new incarnation answers.
       if (silence(candidate.id) < kFormerSelfSilentFor) continue;
       Membership target = without(candidate.id);
       target.members.push_back(Member{candidate.id, candidate.incarnation, false});
@@ -72,7 +72,7 @@
     return std::nullopt;
   }
 
-  /// The voter to go first: a lost one, then a retiring one, then any other than the leader.
+  /// Returns the voter to remove first: a lost voter, then a retiring voter, then any voter except the leader.
   const Member* surplusVoter() const {
     const Member* choice = nullptr;
     int best_rank = -1;
--- a/src/process/consensus/messages.hpp
+++ b/src/process/consensus/messages.hpp
@@ -14,13 +14,13 @@
 /// Messages between the replicas of one group. Each travels in an `Envelope` that names both incarnations.
 namespace hatchfork::consensus {
 
-/// Sent by replicas that belong to no cluster yet, and in answer to that. Forms new clusters and announces the
+/// Sent by replicas that belong to no cluster yet, and in reply to such a message. Forms new clusters and announces the
 /// incarnation of an empty replica to the members of an old one.
 struct Hello {
   static constexpr std::string_view kKind = "hello";
   /// True once the sender belongs to a cluster.
   bool formed = false;
-  /// The initial membership that the sender has made durable; empty before it has heard all initial members.
+  /// The initial membership that the sender has made durable; empty until all initial members have answered it.
   Membership pinned;
   bool answer_wanted = false;
 };
@@ -28,13 +28,13 @@
 
 struct VoteRequest {
   static constexpr std::string_view kKind = "vote_request";
-  /// The term asked for: the envelope's term, or one more in a pre-vote.
+  /// The term of the election: the envelope's term, or one more in a pre-vote.
   Term candidate_term = 0;
   LogIndex last_index = 0;
   Term last_term = 0;
-  /// Only asks whether a real vote would be given; changes nothing at the receiver.
+  /// True to query whether a real vote would be granted; changes no state at the receiver.
   bool pre_vote = false;
-  /// The leader itself asked for this election, so a live leader is no reason to refuse.
+  /// True if the leader itself requested this election, so a live leader is no reason to refuse.
   bool leadership_transfer = false;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(VoteRequest, candidate_term, last_index, last_term, pre_vote, leadership_transfer)
@@ -52,7 +52,7 @@
   static constexpr std::string_view kKind = "heartbeat";
   /// Number of the sending round within the term.
   std::uint64_t round = 0;
-  /// Never beyond what the receiver is known to hold.
+  /// Commit index, limited to the last index that the receiver has acknowledged.
   LogIndex committed = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Heartbeat, round, committed)
@@ -75,7 +75,8 @@
 struct AppendReply {
   static constexpr std::string_view kKind = "append_reply";
   bool accepted = false;
-  /// Accepted: every entry up to here is synced and equal to the leader's. Refused: try again after this index.
+  /// If accepted, every entry up to this index is synced and equal to the leader's; if refused, the leader retries
+  /// after this index.
   LogIndex index = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(AppendReply, accepted, index)
@@ -94,15 +95,15 @@
 struct SnapshotChunkReply {
   static constexpr std::string_view kKind = "snapshot_chunk_reply";
   LogIndex last_index = 0;
-  /// Offset that the receiver wants next.
+  /// Offset that the receiver expects next.
   std::uint64_t next_offset = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(SnapshotChunkReply, last_index, next_offset)
 
-/// A follower's question for an index that is at least as fresh as now.
+/// A follower's request for an index that covers everything committed before the request.
 struct ReadIndexRequest {
   static constexpr std::string_view kKind = "read_index";
-  /// Unique among all requests of the asking incarnation, also over restarts.
+  /// Unique among all requests of the sender's incarnation, also across restarts.
   std::uint64_t number = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ReadIndexRequest, number)
@@ -114,7 +115,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ReadIndexReply, number, index)
 
-/// Tells the most caught-up voter to stand for election at once.
+/// Instructs the most caught-up voter to start an election at once.
 struct TimeoutNow {
   static constexpr std::string_view kKind = "timeout_now";
 };
@@ -126,7 +127,7 @@
 using MessageBody = std::variant<Hello, VoteRequest, VoteReply, Heartbeat, HeartbeatReply, AppendRequest, AppendReply,
                                  SnapshotChunk, SnapshotChunkReply, ReadIndexRequest, ReadIndexReply, TimeoutNow>;
 
-/// What every message carries. A receiver ignores messages for another incarnation than its own.
+/// Header and body of every message. A receiver ignores messages for another incarnation than its own.
 struct Envelope {
   Incarnation from_incarnation = 0;
   /// Zero only in `Hello`.
@@ -136,7 +137,7 @@
 };
 
 std::string encodeEnvelope(const Envelope& envelope);
-/// Malformed bytes are `kProtocol`.
+/// Fails with `kProtocol` on malformed bytes.
 Result<Envelope> decodeEnvelope(std::string_view bytes);
 
 }  // namespace hatchfork::consensus
--- a/src/process/consensus/progress.hpp
+++ b/src/process/consensus/progress.hpp
@@ -9,7 +9,7 @@
 namespace hatchfork::consensus {
 
 enum class ReplicationState {
-  /// The peer's log is not known to match: one request at a time.
+  /// The matching point of the peer's log is unknown: one request at a time.
   kProbe,
   /// The log matches: requests are sent ahead of the replies.
   kReplicate,
@@ -23,10 +23,10 @@
   std::uint64_t bytes = 0;
 };
 
-/// What a leader knows of one peer.
+/// A leader's view of one peer's replication.
 struct Progress {
   ReplicationState state = ReplicationState::kProbe;
-  /// Every entry up to here is synced at the peer and equal to the leader's.
+  /// Index up to which every entry is synced at the peer and equal to the leader's.
   LogIndex match = 0;
   /// Next entry to send.
   LogIndex next = 1;
@@ -34,16 +34,16 @@
   bool probe_sent = false;
   std::deque<SentBatch> in_flight;
   std::uint64_t in_flight_bytes = 0;
-  /// Last time that `match` grew or sending began anew.
+  /// Last time that `match` grew or sending restarted.
   Instant progressed_at{};
   std::uint64_t acknowledged_round = 0;
-  /// When the peer became a member, or this replica its leader.
+  /// When the peer became a member, or this replica became leader.
   Instant added_at{};
   /// When the newest acknowledged heartbeat round was sent.
   Instant confirmed_at = Instant::min();
   LogIndex snapshot_index = 0;
   std::uint64_t snapshot_offset = 0;
-  /// A chunk is in flight since then.
+  /// True if a chunk is in flight; sent at `chunk_sent_at`.
   bool chunk_sent = false;
   Instant chunk_sent_at{};
 
--- a/src/process/consensus/replica.cpp
+++ b/src/process/consensus/replica.cpp
@@ -80,14 +80,14 @@
   compactLog();
   if (fault_) return *fault_;
   resetElectionDeadline();
-  planStartCalls();
+  scheduleStartupElection();
   next_hello_ = now_;
   return okStatus();
 }
 
 void Replica::tick(Instant now) {
   now_ = now;
-  noteOwnStall();
+  detectOwnStall();
   if (fault_) return;
   if (!record_.joined) {
     tickFormation();
@@ -99,7 +99,7 @@
     if (role_ == Role::kLeader && now_ >= next_heartbeat_) sendHeartbeatRound();
   } else {
     tickElection();
-    tickOrphaned();
+    tickWithoutLeader();
   }
   tickFollowerReads();
   if (!fault_ && applied_ < committed_) applyCommitted();
@@ -124,22 +124,22 @@
     handle(from, envelope, *hello);
     return;
   }
-  // Whoever means a former self of this folder gets no answer.
+  // Messages for a former incarnation of this folder get no answer.
   if (envelope.to_incarnation != self_.incarnation) return;
   if (!record_.joined) {
     const bool from_leader = std::holds_alternative<Heartbeat>(envelope.body) ||
                              std::holds_alternative<AppendRequest>(envelope.body) ||
                              std::holds_alternative<SnapshotChunk>(envelope.body);
-    // One that agreed to an initial membership joins by that agreement, which also names the first members.
+    // A replica that agreed to an initial membership joins by that agreement, which also names the first members.
     if (!from_leader || !record_.pinned.members.empty()) return;
-    // A leader writes only to members of its membership: this incarnation has been taken in.
+    // A leader writes only to members of its membership: this incarnation has been added.
     joinCluster();
   }
-  if (fault_ || !settleTerm(from, envelope) || fault_) return;
+  if (fault_ || !updateTerm(from, envelope) || fault_) return;
   std::visit([&](const auto& body) { handle(from, envelope, body); }, envelope.body);
 }
 
-bool Replica::settleTerm(const Identity& from, const Envelope& envelope) {
+bool Replica::updateTerm(const Identity& from, const Envelope& envelope) {
   // Vote requests settle the term themselves: a live leader is not disturbed by them.
   if (std::holds_alternative<VoteRequest>(envelope.body)) return true;
   if (envelope.term > record_.term) {
@@ -147,7 +147,7 @@
     return true;
   }
   if (envelope.term == record_.term) return true;
-  // Tells a leader of an old term about the new one.
+  // Informs a leader of an old term about the new term.
   if (std::holds_alternative<Heartbeat>(envelope.body)) send(from, HeartbeatReply{});
   if (std::holds_alternative<AppendRequest>(envelope.body)) send(from, AppendReply{});
   if (std::holds_alternative<SnapshotChunk>(envelope.body)) send(from, AppendReply{});
@@ -244,7 +244,7 @@
 }
 
 bool Replica::isConfirmedLeader(Instant now) const {
-  if (!knowsCommitted() || applied_ < leadership_index_) return false;
+  if (!hasCommittedInTerm() || applied_ < leadership_index_) return false;
   return isSelfVoter() && quorumSize(membership()) == 1
              ? true
              : quorumConfirmedAt() != Instant::min() && quorumConfirmedAt() + options_.timing.election_timeout > now;
--- a/src/process/consensus/replica.hpp
+++ b/src/process/consensus/replica.hpp
@@ -24,7 +24,7 @@
 namespace hatchfork::consensus {
 
 /// A Raft replica (Ongaro's dissertation, 2014) with pre-vote, check-quorum, read index, leadership transfer and
-/// single-server membership changes. Its parts stand in `replica*.cpp`: opening and dispatch, election, replication,
+/// single-server membership changes. Implemented in `replica*.cpp`: opening and dispatch, election, replication,
 /// reads, membership, snapshots.
 ///
 /// Invariants beyond plain Raft: a server is the pair of name and incarnation, so an emptied folder is another server;
@@ -59,27 +59,27 @@
   void visitUnapplied(const std::function<void(std::string_view command)>& visit) const override;
 
  private:
-  /// What another replica last said of itself in a `Hello`.
+  /// The last `Hello` received from another replica.
   struct Announcement {
     Incarnation incarnation = 0;
     bool formed = false;
     Membership pinned;
-    Instant heard_at{};
+    Instant received_at{};
   };
   struct HeartbeatRound {
     std::uint64_t number = 0;
     Instant sent_at{};
   };
-  /// A read that waits at the leader for a heartbeat round.
+  /// A read pending at the leader until a heartbeat round is confirmed.
   struct LeaderRead {
-    /// The asking follower; absent for a read of this replica's own driver.
-    std::optional<Identity> asker;
+    /// The requesting follower; absent for a read of this replica's own driver.
+    std::optional<Identity> requester;
     std::uint64_t number = 0;
     LogIndex index = 0;
     /// Zero until the leader has committed in its own term.
     std::uint64_t round = 0;
   };
-  /// A read of this replica's driver that the leader was asked about.
+  /// A read of this replica's driver for which a read index was requested from the leader.
   struct FollowerRead {
     RequestNumber request = 0;
     Instant deadline{};
@@ -92,17 +92,18 @@
     bool sent = false;
   };
   /// Entries accepted from a leader that are to be acknowledged once they are synced.
-  struct OwedAcknowledgement {
+  struct PendingAcknowledgement {
     Identity leader;
     LogIndex index = 0;
   };
-  /// When a replica that has started calls for votes next, and when it waits for full timeouts again.
-  struct StartCalls {
+  /// Schedule of the early pre-votes after a start: the next one, the pause after it, and when full election timeouts
+  /// apply again.
+  struct StartupElection {
     Instant next{};
     Duration pause{};
     Instant until{};
   };
-  /// A snapshot that a leader sends; its bytes go to its file as they come.
+  /// A snapshot that a leader sends; its bytes are written to its file as they arrive.
   struct IncomingSnapshot {
     Identity leader;
     LogIndex index = 0;
@@ -116,11 +117,11 @@
   struct OwnSnapshot {
     SnapshotHeader header;
     Instant began_at{};
-    /// Bytes of the commands that were applied since the one before.
+    /// Bytes of the commands applied since the previous snapshot.
     std::uint64_t log_bytes = 0;
     bool finished = false;
   };
-  /// The state machine is taking up a snapshot; `applied_` is zero meanwhile, so that nobody reads it.
+  /// The snapshot that the state machine is restoring; `applied_` is zero meanwhile, so that no read is served from it.
   struct Restoring {
     SnapshotHeader header;
     SnapshotReader reader;
@@ -131,11 +132,11 @@
   // Opening, dispatch and outputs (replica.cpp).
   Status load();
   Status loadRecord();
-  /// Takes up the current snapshot at once: nobody waits for a replica that is being opened.
+  /// Restores the current snapshot without slicing: no messages are pending while a replica is being opened.
   Status restoreWhole(const SnapshotHeader& header);
   void dispatch(const Identity& from, const Envelope& envelope);
   /// False if the message belongs to an old term and is to be ignored.
-  bool settleTerm(const Identity& from, const Envelope& envelope);
+  bool updateTerm(const Identity& from, const Envelope& envelope);
   void send(const Identity& to, MessageBody body);
   void finish(RequestNumber request, decltype(RequestOutcome::result) result);
   void setFault(const Error& error);
@@ -148,13 +149,14 @@
   // Election (replica_election.cpp).
   void tickElection();
   void resetElectionDeadline();
-  /// After a start no leader is to be waited for: this replica calls for votes soon, the one that led last at once.
-  void planStartCalls();
-  /// Does not call before `pause`, and some of it more at random, has passed.
-  void postponeStartCall(Duration pause);
-  void tickStartCall();
-  /// Leads, or led last, as far as its disk tells.
-  bool hasLedLast() const;
+  /// Schedules early pre-votes after a start instead of a full election timeout; the last leader starts its own at
+  /// once.
+  void scheduleStartupElection();
+  /// Delays the next early pre-vote by `pause` plus a random share of it.
+  void postponeStartupPreVote(Duration pause);
+  void tickStartupElection();
+  /// True if this replica leads, or was the last leader according to its disk.
+  bool wasLastLeader() const;
   bool hasLiveLeader() const;
   void startPreVote();
   void startElection(bool leadership_transfer);
@@ -162,23 +164,23 @@
   void handle(const Identity& from, const Envelope& envelope, const VoteRequest& request);
   void handle(const Identity& from, const Envelope& envelope, const VoteReply& reply);
   void handle(const Identity& from, const Envelope& envelope, const TimeoutNow& order);
-  /// What follows from a pre-vote besides its answer.
-  void answerStartCall(const Identity& from, const VoteRequest& request, bool granted);
+  /// Adjusts this replica's own early pre-votes to a pre-vote received from another replica.
+  void handleStartupPreVote(const Identity& from, const VoteRequest& request, bool granted);
   bool isLogUpToDate(const VoteRequest& request) const;
   void becomeFollower(Term term, std::optional<Identity> leader, std::string_view cause = "newer_term");
   void becomeLeader();
-  /// `cause` is for the log.
+  /// `cause` is logged only.
   void leaveLeadership(std::string_view cause);
   void checkQuorum();
-  /// Within the time for which a busy replica waits for its leader.
-  bool heardLeaderLately() const;
-  /// This replica stood still lately, or is applying a long log: what others sent may wait unread.
-  bool isHeldUp() const;
-  /// Notes that this replica itself stood still, so that messages which say otherwise may wait unread.
-  void noteOwnStall();
+  /// True if the leader was heard from within the time for which a busy replica waits for it.
+  bool hasRecentLeaderMessage() const;
+  /// True if this replica stalled recently or is applying a long log, so that received messages may still be unread.
+  bool isStalled() const;
+  /// Records a stall of this replica itself, after which heartbeats and replies may still be unread.
+  void detectOwnStall();
   void tickTransfer();
   void tryTransfer();
-  /// The greatest value that a quorum of voters has reached; `value(peer)` for others, `own` for this replica.
+  /// The greatest value that a quorum of voters has reached; `value(peer)` for peers, `own` for this replica.
   template <class Value, class Function>
   Value quorumValue(Value own, Value least, Function value) const;
   Instant quorumConfirmedAt() const;
@@ -212,13 +214,13 @@
   void completeLeaderReads();
   void completeFollowerReads();
   void tickFollowerReads();
-  void askLeader(std::uint64_t number, FollowerRead& read);
+  void requestReadIndex(std::uint64_t number, FollowerRead& read);
   void failReads();
-  bool knowsCommitted() const { return role_ == Role::kLeader && committed_ >= leadership_index_; }
+  bool hasCommittedInTerm() const { return role_ == Role::kLeader && committed_ >= leadership_index_; }
 
   // Membership (replica_membership.cpp).
   void tickFormation();
-  void tickOrphaned();
+  void tickWithoutLeader();
   /// How often a replica without a cluster announces itself.
   Duration helloInterval() const;
   void announceToContacts();
@@ -226,7 +228,7 @@
   void announce(const ReplicaId& to, bool answer_wanted);
   void pinInitialMembership();
   void joinIfAgreed();
-  void dropVoidAgreement(const Hello& hello);
+  void discardObsoleteAgreement(const Hello& hello);
   void joinCluster();
   Membership resolveIncarnations(const Membership& target) const;
   std::vector<Identity> caughtUpLearners() const;
@@ -235,16 +237,16 @@
   // Snapshots (replica_snapshot.cpp).
   void takeSnapshotIfDue();
   bool isSnapshotDue() const;
-  /// Draws how much more than the least is applied before the next snapshot.
+  /// Draws the random delay of the next snapshot.
   void planNextSnapshot();
   void beginSnapshot();
-  /// Writes the next pieces of the snapshot that is under way, up to the size of a slice.
+  /// Writes the next pieces of the snapshot in progress, up to the size of a slice.
   void writeSnapshotSlice();
   void finishSnapshot();
   void abandonOwnSnapshot(std::string_view cause);
-  /// A peer is being sent the current snapshot, whose file a newer one would take away.
+  /// True if a peer is being sent the current snapshot, whose file a newer one would remove.
   bool isSendingSnapshot() const;
-  /// Every index before it may be forgotten by the log.
+  /// Returns the first index that the log must keep.
   LogIndex firstIndexKept() const;
   void compactLog();
   void sendSnapshotChunk(const Identity& peer, Progress& progress);
@@ -252,16 +254,16 @@
   void handle(const Identity& from, const Envelope& envelope, const SnapshotChunkReply& reply);
   Status storeChunk(const SnapshotChunk& chunk);
   void finishIncomingSnapshot();
-  /// The snapshot is the durable current one: the log goes on from it, and the state takes it up.
+  /// Continues the log after the snapshot, which is the durable current one, and starts restoring the state from it.
   void installSnapshot(const SnapshotHeader& header);
   Status beginRestore(const SnapshotHeader& header);
-  /// Takes up the next pieces, up to the size of a slice.
+  /// Restores the next pieces, up to the size of a slice.
   void restoreSlice();
   Status restoreNextPiece(std::uint64_t& bytes);
   void rebuildMemberships(const SnapshotHeader& header);
 
-  /// What the state may hold back for a snapshot under way; beyond it pieces are written at once.
-  static constexpr std::size_t kMostSnapshotBytesHeldBack = 2 << 20;
+  /// Limit of the bytes that the state buffers for a snapshot in progress; beyond it, pieces are written at once.
+  static constexpr std::size_t kMaxBufferedSnapshotBytes = 2 << 20;
 
   GroupOptions options_;
   Disk& disk_;
@@ -283,19 +285,19 @@
   LogIndex committed_ = 0;
   LogIndex applied_ = 0;
   Instant election_deadline_{};
-  /// Absent once there was a leader, or has been none for long.
-  std::optional<StartCalls> start_calls_;
-  /// When this replica last heard from the leader of its term.
-  Instant leader_heard_at_ = Instant::min();
+  /// Absent once there was a leader, or after the startup period has passed.
+  std::optional<StartupElection> startup_election_;
+  /// When this replica last received a message from the leader of its term.
+  Instant leader_last_received_at_ = Instant::min();
   bool pre_vote_running_ = false;
   std::set<Identity> votes_;
 
   std::map<Identity, Progress> progress_;
-  /// Entry that opened this replica's leadership.
+  /// Index of the first entry of this replica's leadership.
   LogIndex leadership_index_ = 0;
   Instant elected_at_{};
   Instant ticked_at_{};
-  /// When this replica last went on after it had stood still.
+  /// When this replica last resumed after a stall.
   Instant resumed_at_ = Instant::min();
   Instant next_heartbeat_{};
   std::uint64_t round_ = 0;
@@ -307,15 +309,16 @@
 
   std::map<std::uint64_t, FollowerRead> follower_reads_;
   std::uint64_t next_read_number_ = 0;
-  std::optional<OwedAcknowledgement> owed_;
+  std::optional<PendingAcknowledgement> pending_acknowledgement_;
   std::optional<IncomingSnapshot> incoming_;
   std::optional<OwnSnapshot> own_snapshot_;
   std::optional<Restoring> restoring_;
   /// Bytes of commands applied since the current snapshot, or since the one that is being written began.
   std::uint64_t bytes_since_snapshot_ = 0;
-  /// By how much more than the least amount the next snapshot is put off, as a share; other members draw another one.
+  /// Delay of the next snapshot beyond the minimum amount of applied bytes, as a share of it; drawn by each member, so
+  /// that members take their snapshots at different times.
   double snapshot_delay_ = 0;
-  /// None is begun before.
+  /// No snapshot is begun before this time.
   Instant next_snapshot_ = Instant::min();
 
   std::vector<ReplicaId> contacts_;
--- a/src/process/consensus/replica_election.cpp
+++ b/src/process/consensus/replica_election.cpp
@@ -7,15 +7,16 @@
 namespace hatchfork::consensus {
 namespace {
 
-/// A leader that stands still again and again steps down after so many election timeouts without a quorum.
-constexpr int kMostStalledTimeouts = 3;
-/// A stall counts for so many heartbeat intervals after it.
-constexpr int kStallRemembered = 2;
-/// A replica that starts calls for votes without a full timeout for so many election timeouts.
-constexpr int kStartCallTimeouts = 2;
-/// Between the calls of a start: this share of a heartbeat interval at first, twice as much each time. Votes are asked
-/// and granted within some milliseconds, also by a slow disk.
-constexpr int kStartCallsEachInterval = 2;
+/// Election timeouts without a quorum after which a stalled leader steps down; also the silence of a leader after which
+/// a stalled follower no longer waits for its heartbeats.
+constexpr int kMaxStalledTimeouts = 3;
+/// Heartbeat intervals after a stall during which it is taken into account.
+constexpr int kStallHeartbeatIntervals = 2;
+/// Election timeouts after a start during which a replica starts pre-votes without waiting for a full timeout.
+constexpr int kStartupElectionTimeouts = 2;
+/// Divides the heartbeat interval to give the first pause between early pre-votes; the pause doubles each time. Votes
+/// are requested and granted within a few milliseconds, even with a slow disk.
+constexpr int kStartupPreVotesPerInterval = 2;
 
 }  // namespace
 
@@ -25,54 +26,54 @@
   election_deadline_ = now_ + timeout + Duration(extra(random_));
 }
 
-bool Replica::hasLedLast() const {
+bool Replica::wasLastLeader() const {
   const bool voted_for_self = record_.voted_for == self_.id && record_.voted_for_incarnation == self_.incarnation;
   return voted_for_self && log_->lastTerm() == record_.term;
 }
 
-void Replica::planStartCalls() {
+void Replica::scheduleStartupElection() {
   if (!record_.joined || !isSelfVoter()) return;
-  const Duration pause = options_.timing.heartbeat_interval / kStartCallsEachInterval;
-  start_calls_ = StartCalls{now_, pause, now_ + kStartCallTimeouts * options_.timing.election_timeout};
-  // The others leave the first call to that one, and a live leader the time for a heartbeat.
-  if (!hasLedLast()) postponeStartCall(options_.timing.heartbeat_interval);
+  const Duration pause = options_.timing.heartbeat_interval / kStartupPreVotesPerInterval;
+  startup_election_ = StartupElection{now_, pause, now_ + kStartupElectionTimeouts * options_.timing.election_timeout};
+  // The other replicas leave the first pre-vote to the last leader, and leave a live leader time for a heartbeat.
+  if (!wasLastLeader()) postponeStartupPreVote(options_.timing.heartbeat_interval);
   logEvent(LogLevel::kInfo, "start_call_planned",
            {{"group", options_.group},
             {"term", record_.term},
-            {"led_last", hasLedLast()},
-            {"in_ms", toMillis(start_calls_->next - now_)}});
+            {"led_last", wasLastLeader()},
+            {"in_ms", toMillis(startup_election_->next - now_)}});
 }
 
-void Replica::postponeStartCall(Duration pause) {
-  if (!start_calls_) return;
+void Replica::postponeStartupPreVote(Duration pause) {
+  if (!startup_election_) return;
   std::uniform_int_distribution<Duration::rep> extra(0, pause.count());
-  start_calls_->next = std::max(start_calls_->next, now_ + pause + Duration(extra(random_)));
+  startup_election_->next = std::max(startup_election_->next, now_ + pause + Duration(extra(random_)));
 }
 
-void Replica::tickStartCall() {
-  if (!start_calls_ || now_ < start_calls_->next) return;
-  if (now_ >= start_calls_->until) {
-    start_calls_.reset();
+void Replica::tickStartupElection() {
+  if (!startup_election_ || now_ < startup_election_->next) return;
+  if (now_ >= startup_election_->until) {
+    startup_election_.reset();
     return;
   }
-  postponeStartCall(start_calls_->pause);
-  start_calls_->pause *= 2;
+  postponeStartupPreVote(startup_election_->pause);
+  startup_election_->pause *= 2;
   startPreVote();
 }
 
 void Replica::tickElection() {
   if (!isSelfVoter()) return;
-  tickStartCall();
+  tickStartupElection();
   if (now_ < election_deadline_) return;
-  // While it applies a long log, heartbeats may wait unread.
-  if (applied_ < committed_ && heardLeaderLately()) return;
+  // While this replica applies a long log, received heartbeats may be unread.
+  if (applied_ < committed_ && hasRecentLeaderMessage()) return;
   startPreVote();
 }
 
 bool Replica::hasLiveLeader() const {
   if (role_ == Role::kLeader) return true;
-  if (leader_heard_at_ == Instant::min()) return false;
-  return now_ < leader_heard_at_ + options_.timing.election_timeout;
+  if (leader_last_received_at_ == Instant::min()) return false;
+  return now_ < leader_last_received_at_ + options_.timing.election_timeout;
 }
 
 void Replica::startPreVote() {
@@ -91,12 +92,12 @@
 void Replica::startElection(bool leadership_transfer) {
   role_ = Role::kCandidate;
   leader_.reset();
-  owed_.reset();
+  pending_acknowledgement_.reset();
   pre_vote_running_ = false;
   votes_ = {self_};
   resetElectionDeadline();
-  // Votes are being counted. A split vote is called again after this, not after a full timeout.
-  postponeStartCall(options_.timing.heartbeat_interval);
+  // Votes are being counted. A split vote is repeated after this pause, not after a full timeout.
+  postponeStartupPreVote(options_.timing.heartbeat_interval);
   ++record_.term;
   record_.voted_for = self_.id;
   record_.voted_for_incarnation = self_.incarnation;
@@ -131,7 +132,7 @@
   if (request.pre_vote) {
     reply.granted = !disturbs && request.candidate_term > record_.term && isLogUpToDate(request);
     send(from, reply);
-    answerStartCall(from, request, reply.granted);
+    handleStartupPreVote(from, request, reply.granted);
     return;
   }
   if (request.candidate_term > record_.term) {
@@ -148,25 +149,25 @@
       record_.voted_for_incarnation = from.incarnation;
       if (!saveRecord()) return;
       resetElectionDeadline();
-      postponeStartCall(options_.timing.heartbeat_interval);
+      postponeStartupPreVote(options_.timing.heartbeat_interval);
     }
   }
   send(from, reply);
 }
 
-void Replica::answerStartCall(const Identity& from, const VoteRequest& request, bool granted) {
+void Replica::handleStartupPreVote(const Identity& from, const VoteRequest& request, bool granted) {
   const auto progress = progress_.find(from);
   if (role_ == Role::kLeader && progress != progress_.end()) {
-    // It has just started, or was cut off: it learns of its leader now, not at the next heartbeat.
+    // The sender has just started, or was cut off: inform it of its leader now, not at the next heartbeat.
     send(from, Heartbeat{round_, std::min(committed_, progress->second.match)});
     return;
   }
-  if (!start_calls_ || hasLiveLeader()) return;
+  if (!startup_election_ || hasLiveLeader()) return;
   if (granted) {
-    postponeStartCall(start_calls_->pause);
+    postponeStartupPreVote(startup_election_->pause);
   } else if (!isLogUpToDate(request) && !pre_vote_running_ && role_ != Role::kCandidate) {
-    // That one can't lead, since it lacks what is held here.
-    start_calls_->next = std::min(start_calls_->next, now_);
+    // The sender cannot lead, since it lacks entries that this replica holds.
+    startup_election_->next = std::min(startup_election_->next, now_);
   }
 }
 
@@ -195,8 +196,8 @@
   pre_vote_running_ = false;
   votes_.clear();
   if (term <= record_.term) return;
-  owed_.reset();
-  leader_heard_at_ = Instant::min();
+  pending_acknowledgement_.reset();
+  leader_last_received_at_ = Instant::min();
   record_.term = term;
   record_.voted_for = ReplicaId();
   record_.voted_for_incarnation = 0;
@@ -204,12 +205,12 @@
 }
 
 void Replica::becomeLeader() {
-  start_calls_.reset();
+  startup_election_.reset();
   logEvent(LogLevel::kInfo, "leadership_won", {{"group", options_.group}, {"term", record_.term}});
   role_ = Role::kLeader;
   leader_ = self_;
   elected_at_ = now_;
-  owed_.reset();
+  pending_acknowledgement_.reset();
   incoming_.reset();
   transfer_.reset();
   progress_.clear();
@@ -235,7 +236,7 @@
   // The entries are in the log: a later leader may commit them or not.
   for (const auto& [index, request] : std::exchange(proposals_, {})) finish(request, OutcomeUnknown{});
   for (const LeaderRead& read : std::exchange(leader_reads_, {})) {
-    if (!read.asker) finish(read.number, NotLeader{});
+    if (!read.requester) finish(read.number, NotLeader{});
   }
   progress_.clear();
   transfer_.reset();
@@ -250,30 +251,30 @@
   const Instant confirmed = std::max(quorumConfirmedAt(), elected_at_);
   const Duration timeout = options_.timing.election_timeout;
   if (now_ < confirmed + timeout) return;
-  // Answers of the quorum may wait unread, here or at peers that are as busy, though not for ever.
-  if (isHeldUp() && now_ < confirmed + kMostStalledTimeouts * timeout) return;
+  // Replies of the quorum may be unread, here or at equally busy peers, but only for a bounded time.
+  if (isStalled() && now_ < confirmed + kMaxStalledTimeouts * timeout) return;
   becomeFollower(record_.term, std::nullopt, "no_quorum");
 }
 
-bool Replica::heardLeaderLately() const {
-  const Duration most_silence = kMostStalledTimeouts * options_.timing.election_timeout;
-  return leader_heard_at_ != Instant::min() && now_ < leader_heard_at_ + most_silence;
+bool Replica::hasRecentLeaderMessage() const {
+  const Duration max_silence = kMaxStalledTimeouts * options_.timing.election_timeout;
+  return leader_last_received_at_ != Instant::min() && now_ < leader_last_received_at_ + max_silence;
 }
 
-bool Replica::isHeldUp() const {
-  const bool stalled_lately =
-      resumed_at_ != Instant::min() && now_ < resumed_at_ + kStallRemembered * options_.timing.heartbeat_interval;
+bool Replica::isStalled() const {
+  const bool stalled_lately = resumed_at_ != Instant::min() &&
+                              now_ < resumed_at_ + kStallHeartbeatIntervals * options_.timing.heartbeat_interval;
   return stalled_lately || applied_ < committed_;
 }
 
-void Replica::noteOwnStall() {
+void Replica::detectOwnStall() {
   const bool stalled = ticked_at_ != Instant{} && now_ - ticked_at_ >= options_.timing.heartbeat_interval;
   ticked_at_ = now_;
   if (!stalled) return;
   resumed_at_ = now_;
-  // The heartbeats of a leader that was heard lately may wait unread as well. Without that bound, a replica that stands
-  // still again and again would never ask for votes.
-  if (role_ == Role::kLeader || !heardLeaderLately()) return;
+  // Heartbeats of a leader heard from recently may be unread as well. Without that bound, a replica that stalls
+  // repeatedly would never request votes.
+  if (role_ == Role::kLeader || !hasRecentLeaderMessage()) return;
   election_deadline_ = std::max(election_deadline_, now_ + options_.timing.heartbeat_interval);
 }
 
--- a/src/process/consensus/replica_membership.cpp
+++ b/src/process/consensus/replica_membership.cpp
@@ -9,15 +9,15 @@
 namespace hatchfork::consensus {
 namespace {
 
-/// A replica without a cluster announces itself every so many heartbeat intervals.
+/// Heartbeat intervals between announcements of a replica without a cluster.
 constexpr int kHelloIntervals = 2;
-/// A contact hears one announcement in this time on the mean, however many replicas announce themselves.
+/// Mean interval of the announcements that a contact receives, however many replicas announce themselves.
 constexpr Duration kHelloSpacing = fromMillis(4);
-/// A member without a leader announces itself every so many election timeouts.
-constexpr int kOrphanedHelloTimeouts = 2;
-/// An announcement counts for this many election timeouts.
+/// Election timeouts between announcements of a member without a leader.
+constexpr int kLeaderlessHelloTimeouts = 2;
+/// Election timeouts for which an announcement is valid.
 constexpr int kCandidateTimeouts = 6;
-/// And at least for the time of so many of them.
+/// Minimum validity of an announcement, in announcement intervals.
 constexpr int kHellosOfCandidate = 3;
 
 Error changeRefused(std::string message, std::string remedy) {
@@ -35,10 +35,10 @@
   joinIfAgreed();
 }
 
-/// A member that sees no leader for long may have been removed while it was away: it asks to be taken in again.
-void Replica::tickOrphaned() {
+/// A member without a leader for long may have been removed while it was away: announces it, so that it is added again.
+void Replica::tickWithoutLeader() {
   if (hasLiveLeader() || now_ < next_hello_) return;
-  next_hello_ = now_ + kOrphanedHelloTimeouts * options_.timing.election_timeout;
+  next_hello_ = now_ + kLeaderlessHelloTimeouts * options_.timing.election_timeout;
   announceToContacts();
 }
 
@@ -71,7 +71,7 @@
   for (const auto& [id, heard] : announcements_) {
     const Duration lifetime =
         std::max(kCandidateTimeouts * options_.timing.election_timeout, kHellosOfCandidate * helloInterval());
-    const bool recent = now < heard.heard_at + lifetime;
+    const bool recent = now < heard.received_at + lifetime;
     const bool is_member = findMember(membership(), Identity{id, heard.incarnation}) != nullptr;
     if (recent && !is_member) candidates.push_back(Candidate{id, heard.incarnation, heard.formed});
   }
@@ -98,13 +98,14 @@
   announcements_[from.id] = Announcement{from.incarnation, hello.formed, hello.pinned, now_};
   if (hello.answer_wanted) announce(from.id, /*answer_wanted=*/false);
   if (record_.joined) return;
-  dropVoidAgreement(hello);
+  discardObsoleteAgreement(hello);
   pinInitialMembership();
   joinIfAgreed();
 }
 
-/// A cluster formed by another agreement: its members will never come to this one, so this replica is a newcomer there.
-void Replica::dropVoidAgreement(const Hello& hello) {
+/// Discards this replica's agreement once a cluster has formed by another one: the members of that cluster will never
+/// join by this agreement, so this replica is a new candidate there.
+void Replica::discardObsoleteAgreement(const Hello& hello) {
   if (!hello.formed || record_.pinned.members.empty() || hello.pinned == record_.pinned) return;
   record_.pinned = Membership();
   saveRecord();
@@ -131,8 +132,8 @@
   saveRecord();
 }
 
-/// Joins once all initial members have made the same membership durable, or one of them already acts on it. A member
-/// agrees only once, so no two clusters can form of overlapping incarnations.
+/// Joins once all initial members have made the same membership durable, or one of them has already joined by it. A
+/// member agrees only once, so no two clusters with overlapping incarnations can form.
 void Replica::joinIfAgreed() {
   if (fault_ || record_.pinned.members.empty()) return;
   bool all_agree = true;
@@ -155,7 +156,7 @@
   resetElectionDeadline();
   logEvent(LogLevel::kInfo, "cluster_joined",
            {{"group", options_.group}, {"incarnation", self_.incarnation}, {"voter", isSelfVoter()}});
-  // The others may wait for this replica's agreement only.
+  // This replica's agreement may be the only one that the other members still wait for.
   for (const Identity& peer : peers()) announce(peer.id, /*answer_wanted=*/false);
 }
 
@@ -188,7 +189,7 @@
     finish(request, NotLeader{leaderName()});
     return;
   }
-  if (!knowsCommitted() || memberships_.latestIndex() > committed_) {
+  if (!hasCommittedInTerm() || memberships_.latestIndex() > committed_) {
     finish(request, MembershipRejected{changeRefused("an earlier membership change is not committed yet",
                                                      "wait a second, then retry")});
     return;
@@ -221,7 +222,7 @@
     progress[peer] = fresh;
   }
   for (const auto& [peer, dropped] : progress_) {
-    // What it announced before it was removed does not ask to be taken in again.
+    // An announcement from before its removal is no request to be added again.
     if (!progress.contains(peer)) announcements_.erase(peer.id);
   }
   progress_ = std::move(progress);
--- a/src/process/consensus/replica_read.cpp
+++ b/src/process/consensus/replica_read.cpp
@@ -6,7 +6,8 @@
 namespace hatchfork::consensus {
 namespace {
 
-/// A follower asks the leader again after this many heartbeat intervals, and gives up after as many election timeouts.
+/// Heartbeat intervals after which a follower repeats its request to the leader; it gives up after as many election
+/// timeouts.
 constexpr int kAskAgainIntervals = 2;
 constexpr int kGiveUpTimeouts = 2;
 
@@ -26,10 +27,10 @@
   FollowerRead& read = follower_reads_[number];
   read.request = request;
   read.deadline = now_ + kGiveUpTimeouts * options_.timing.election_timeout;
-  askLeader(number, read);
+  requestReadIndex(number, read);
 }
 
-void Replica::askLeader(std::uint64_t number, FollowerRead& read) {
+void Replica::requestReadIndex(std::uint64_t number, FollowerRead& read) {
   read.resend_at = now_ + kAskAgainIntervals * options_.timing.heartbeat_interval;
   if (leader_ && role_ != Role::kLeader) send(*leader_, ReadIndexRequest{number});
 }
@@ -40,7 +41,7 @@
 }
 
 void Replica::scheduleLeaderReads() {
-  if (!knowsCommitted()) return;
+  if (!hasCommittedInTerm()) return;
   bool round_wanted = false;
   for (LeaderRead& read : leader_reads_) {
     if (read.round == 0) {
@@ -49,7 +50,7 @@
     }
     round_wanted = round_wanted || read.round > round_;
   }
-  // One round of reads at a time: what arrives meanwhile shares the next one.
+  // One round of reads at a time: reads that arrive meanwhile share the next round.
   const std::uint64_t acknowledged =
       quorumValue<std::uint64_t>(round_, 0, [](const Progress& progress) { return progress.acknowledged_round; });
   if (!round_wanted || acknowledged < last_read_round_) return;
@@ -64,10 +65,10 @@
   while (!leader_reads_.empty()) {
     const LeaderRead& read = leader_reads_.front();
     if (read.round == 0 || read.round > acknowledged) return;
-    // An asking follower waits for its own state machine.
-    if (!read.asker && read.index > applied_) return;
-    if (read.asker) {
-      send(*read.asker, ReadIndexReply{read.number, read.index});
+    // A requesting follower waits for its own state machine.
+    if (!read.requester && read.index > applied_) return;
+    if (read.requester) {
+      send(*read.requester, ReadIndexReply{read.number, read.index});
     } else {
       finish(read.number, ReadReady{});
     }
@@ -100,7 +101,7 @@
       read = follower_reads_.erase(read);
       continue;
     }
-    if (!read->second.index && now_ >= read->second.resend_at) askLeader(read->first, read->second);
+    if (!read->second.index && now_ >= read->second.resend_at) requestReadIndex(read->first, read->second);
     ++read;
   }
 }
--- a/src/process/consensus/replica_record.cpp
+++ b/src/process/consensus/replica_record.cpp
@@ -21,7 +21,8 @@
     if (errorOf(bytes).kind != ErrorKind::kNotFound) return errorOf(bytes);
     const Result<std::vector<std::string>> names = disk.list(folder);
     if (!isOk(names)) return errorOf(names);
-    if (!valueOf(names).empty()) return storageCorruptError(name, "the file is missing beside other files");
+    if (!valueOf(names).empty())
+      return storageCorruptError(name, "the file is missing although the folder holds other files");
     return std::optional<ReplicaRecord>();
   }
   const Result<ScannedRecords> scanned = scanRecords(valueOf(bytes), name);
--- a/src/process/consensus/replica_record.hpp
+++ b/src/process/consensus/replica_record.hpp
@@ -9,13 +9,13 @@
 
 namespace hatchfork::consensus {
 
-/// What a replica must never forget, besides its log: kept in one small file that is replaced as a whole.
+/// State that a replica must keep durable besides its log; stored in one small file that is replaced atomically.
 struct ReplicaRecord {
   Incarnation incarnation = 0;
-  /// How often this folder was opened; keeps request numbers unique over restarts.
+  /// Number of times this folder was opened; keeps request numbers unique across restarts.
   std::uint64_t boots = 0;
   Term term = 0;
-  /// Who got this replica's vote in `term`; empty for nobody.
+  /// The replica that received this replica's vote in `term`; empty if none did.
   ReplicaId voted_for;
   Incarnation voted_for_incarnation = 0;
   /// True once the replica belongs to a cluster; then it never forms another one.
@@ -29,7 +29,7 @@
                                                 voted_for_incarnation, joined, pinned, may_form)
 
 /// Reads the record below `folder`; absent only if the folder holds no file at all. Files without a record are
-/// `kStorageCorrupt`: the replica cannot know how it voted.
+/// `kStorageCorrupt`: the vote of the replica is lost.
 Result<std::optional<ReplicaRecord>> loadReplicaRecord(Disk& disk, const std::string& folder);
 /// Durable on return.
 Status saveReplicaRecord(Disk& disk, const std::string& folder, const ReplicaRecord& record);
--- a/src/process/consensus/replica_replication.cpp
+++ b/src/process/consensus/replica_replication.cpp
@@ -9,17 +9,17 @@
 namespace {
 
 /// Entries of one append request: limits of count and of payload bytes.
-constexpr std::size_t kMostEntriesPerRequest = 512;
-constexpr std::uint64_t kMostBytesPerRequest = 256 * 1024;
+constexpr std::size_t kMaxEntriesPerRequest = 512;
+constexpr std::uint64_t kMaxBytesPerRequest = 256 * 1024;
 /// Unacknowledged requests to one peer: limits of count and of payload bytes.
-constexpr std::size_t kMostRequestsInFlight = 16;
-constexpr std::uint64_t kMostBytesInFlight = 768 * 1024;
+constexpr std::size_t kMaxRequestsInFlight = 16;
+constexpr std::uint64_t kMaxBytesInFlight = 768 * 1024;
 /// Applied entries whose payloads stay in memory for members that are a little behind.
 constexpr LogIndex kEntriesKeptInMemory = 12;
-/// A slice of applying: some milliseconds on a third of a core. What is more waits for the next one.
-constexpr std::uint64_t kMostBytesAppliedAtOnce = 128 * 1024;
-constexpr std::size_t kMostEntriesAppliedAtOnce = 128;
-/// Heartbeat intervals without progress after which a peer is probed anew.
+/// A slice of applying: some milliseconds on a third of a core. Further entries wait for the next slice.
+constexpr std::uint64_t kMaxBytesAppliedAtOnce = 128 * 1024;
+constexpr std::size_t kMaxEntriesAppliedAtOnce = 128;
+/// Heartbeat intervals without progress after which a peer is probed again.
 constexpr int kResendIntervals = 3;
 
 }  // namespace
@@ -35,8 +35,8 @@
 
 void Replica::handle(const Identity& from, const Envelope&, const Heartbeat& heartbeat) {
   becomeFollower(record_.term, from);
-  leader_heard_at_ = now_;
-  start_calls_.reset();
+  leader_last_received_at_ = now_;
+  startup_election_.reset();
   resetElectionDeadline();
   commitTo(std::min(heartbeat.committed, log_->lastIndex()));
   send(from, HeartbeatReply{heartbeat.round});
@@ -77,8 +77,8 @@
     sendAppend(peer, progress);
     return;
   }
-  while (progress.next <= log_->lastIndex() && progress.in_flight.size() < kMostRequestsInFlight &&
-         progress.in_flight_bytes < kMostBytesInFlight) {
+  while (progress.next <= log_->lastIndex() && progress.in_flight.size() < kMaxRequestsInFlight &&
+         progress.in_flight_bytes < kMaxBytesInFlight) {
     sendAppend(peer, progress);
   }
 }
@@ -90,8 +90,7 @@
   request.committed = committed_;
   std::uint64_t bytes = 0;
   LogIndex index = progress.next;
-  while (index <= log_->lastIndex() && request.entries.size() < kMostEntriesPerRequest &&
-         bytes < kMostBytesPerRequest) {
+  while (index <= log_->lastIndex() && request.entries.size() < kMaxEntriesPerRequest && bytes < kMaxBytesPerRequest) {
     Result<LogEntry> entry = log_->read(index);
     if (!isOk(entry)) {
       setFault(errorOf(entry));
@@ -124,8 +123,8 @@
 
 void Replica::handle(const Identity& from, const Envelope&, const AppendRequest& request) {
   becomeFollower(record_.term, from);
-  leader_heard_at_ = now_;
-  start_calls_.reset();
+  leader_last_received_at_ = now_;
+  startup_election_.reset();
   resetElectionDeadline();
   if (incoming_ && incoming_->writing) return;
   if (refuseUnlessMatching(from, request)) return;
@@ -135,8 +134,9 @@
     if (fault_) return;
   }
   const LogIndex matched = request.previous_index + request.entries.size();
-  if (!owed_ || owed_->leader != from) owed_ = OwedAcknowledgement{from, 0};
-  owed_->index = std::max(owed_->index, matched);
+  if (!pending_acknowledgement_ || pending_acknowledgement_->leader != from)
+    pending_acknowledgement_ = PendingAcknowledgement{from, 0};
+  pending_acknowledgement_->index = std::max(pending_acknowledgement_->index, matched);
   commitTo(std::min(request.committed, matched));
   if (!fault_) acknowledgeSynced();
 }
@@ -150,11 +150,11 @@
 }
 
 void Replica::acknowledgeSynced() {
-  if (!owed_) return;
-  const LogIndex synced = std::min(owed_->index, log_->syncedIndex());
-  // An answer for less than all is still of use to the leader; the rest follows with a later sync.
-  send(owed_->leader, AppendReply{true, synced});
-  if (synced == owed_->index) owed_.reset();
+  if (!pending_acknowledgement_) return;
+  const LogIndex synced = std::min(pending_acknowledgement_->index, log_->syncedIndex());
+  // A partial acknowledgement is still useful to the leader; the rest follows with a later sync.
+  send(pending_acknowledgement_->leader, AppendReply{true, synced});
+  if (synced == pending_acknowledgement_->index) pending_acknowledgement_.reset();
 }
 
 void Replica::onSynced() {
@@ -173,8 +173,8 @@
   if (!reply.accepted) {
     if (progress.state == ReplicationState::kSnapshot) return;
     const LogIndex next = std::min(std::max(reply.index, progress.match) + 1, log_->lastIndex() + 1);
-    // The probe in flight asks just that: the refusal is an old one, or the peer lost what it had acknowledged. Sending
-    // again at once would never end, and would multiply with each repeated message; heartbeats send it again.
+    // The probe in flight already starts there: the refusal is outdated, or the peer lost what it had acknowledged.
+    // Sending again at once would never end, and would multiply with each repeated message; heartbeats send it again.
     if (progress.probe_sent && progress.next == next) return;
     progress.startProbe(now_);
     progress.next = next;
@@ -203,7 +203,7 @@
     finish(request, NotLeader{leading && transfer_ ? std::optional(transfer_->target.id) : leaderName()});
     return;
   }
-  // Registered first: a disk that fails here must end it as unknown.
+  // Registered first: if the disk fails here, the outcome must be unknown.
   proposals_[log_->lastIndex() + 1] = request;
   appendOwnEntry(EntryKind::kCommand, std::move(command));
 }
@@ -212,7 +212,7 @@
   if (role_ != Role::kLeader) return;
   const LogIndex index =
       quorumValue<LogIndex>(log_->syncedIndex(), 0, [](const Progress& progress) { return progress.match; });
-  // Only entries of the own term are committed by counting; they carry all earlier ones with them.
+  // Only entries of the own term are committed by counting; committing them commits all earlier entries.
   if (index <= committed_ || log_->termAt(index) != record_.term) return;
   commitTo(index);
 }
@@ -254,7 +254,7 @@
   if (restoring_ || fault_) return;
   std::uint64_t bytes = 0;
   std::size_t entries = 0;
-  while (applied_ < committed_ && !fault_ && bytes < kMostBytesAppliedAtOnce && entries < kMostEntriesAppliedAtOnce) {
+  while (applied_ < committed_ && !fault_ && bytes < kMaxBytesAppliedAtOnce && entries < kMaxEntriesAppliedAtOnce) {
     if (!applyNextEntry(bytes)) return;
     ++entries;
   }
@@ -270,7 +270,7 @@
     if (removed) becomeFollower(record_.term, std::nullopt, "removed");
   }
   takeSnapshotIfDue();
-  if (machine_->snapshotBytesHeld() > kMostSnapshotBytesHeldBack) writeSnapshotSlice();
+  if (machine_->snapshotBytesHeld() > kMaxBufferedSnapshotBytes) writeSnapshotSlice();
 }
 
 void Replica::applyEntry(const LogEntry& entry) {
--- a/src/process/consensus/replica_snapshot.cpp
+++ b/src/process/consensus/replica_snapshot.cpp
@@ -12,26 +12,27 @@
 constexpr std::uint64_t kChunkBytes = 256 * 1024;
 /// A chunk without an answer is sent again after this many heartbeat intervals.
 constexpr int kChunkResendIntervals = 3;
-/// A slice of writing or taking up a snapshot: some milliseconds on a third of a core.
+/// Slice size for writing or restoring a snapshot: some milliseconds on a third of a core.
 constexpr std::uint64_t kSliceBytes = 64 * 1024;
-/// A large snapshot is written in larger slices, so that it takes no longer than this many.
-constexpr std::uint64_t kMostSlices = 400;
-/// A snapshot of a large state is due after this many times the bytes that are due after for a small one.
-constexpr std::uint64_t kMostIntervals = 3;
-/// The log kept behind a snapshot for members that are a little behind, by the bytes that a snapshot is due after.
+/// Maximum number of slices of a snapshot; a large snapshot is written in larger slices.
+constexpr std::uint64_t kMaxSlices = 400;
+/// Limit of the applied bytes before a snapshot of a large state, as a multiple of those before one of a small state.
+constexpr std::uint64_t kMaxIntervals = 3;
+/// Log kept behind a snapshot for members that are slightly behind, as a multiple of `snapshot_after_bytes`.
 constexpr std::uint64_t kIntervalsKept = 1;
-/// What the state may hold back while the disk takes nothing; beyond it the snapshot is given up for a while.
-constexpr std::size_t kMostBytesHeldForDisk = 4 << 20;
+/// Limit of the bytes that the state buffers while the disk is blocked; beyond it the snapshot is
+/// abandoned and retried later.
+constexpr std::size_t kMaxBytesBufferedForDisk = 4 << 20;
 constexpr Duration kPauseAfterAbandoned = std::chrono::seconds(5);
-/// The most by which a snapshot is put off, as a share of the least amount applied before it.
-constexpr double kMostSnapshotDelay = 0.25;
-/// A snapshot waits for a transfer of the one before it up to this many times that amount.
-constexpr double kMostTransferDelay = 2.0;
+/// Maximum random delay of a snapshot, as a share of the minimum amount applied before it.
+constexpr double kMaxSnapshotDelay = 0.25;
+/// A snapshot is delayed by a transfer of the previous one until this multiple of that amount is applied.
+constexpr double kMaxTransferDelay = 2.0;
 
 }  // namespace
 
 void Replica::planNextSnapshot() {
-  snapshot_delay_ = std::uniform_real_distribution<double>(0, kMostSnapshotDelay)(random_);
+  snapshot_delay_ = std::uniform_real_distribution<double>(0, kMaxSnapshotDelay)(random_);
 }
 
 bool Replica::isSendingSnapshot() const {
@@ -43,13 +44,13 @@
 }
 
 bool Replica::isSnapshotDue() const {
-  const double waits = isSendingSnapshot() ? kMostTransferDelay : 1 + snapshot_delay_;
+  const double waits = isSendingSnapshot() ? kMaxTransferDelay : 1 + snapshot_delay_;
   const auto entries = static_cast<double>(applied_ - std::min(applied_, snapshots_.currentIndex()));
   if (entries >= waits * static_cast<double>(options_.timing.snapshot_after_entries)) return true;
-  // As much as the snapshot itself, so that snapshots cost no more writing than the log does; but a start is to read no
-  // long log, and the disk to hold no long one beside two snapshots.
+  // As much as the snapshot itself, so that snapshots cost no more writing than the log does; bounded, so that a start
+  // reads no long log and the disk holds no long log beside two snapshots.
   const std::uint64_t least_bytes = std::clamp(snapshots_.currentBytes(), options_.timing.snapshot_after_bytes,
-                                               kMostIntervals * options_.timing.snapshot_after_bytes);
+                                               kMaxIntervals * options_.timing.snapshot_after_bytes);
   return static_cast<double>(bytes_since_snapshot_) >= waits * static_cast<double>(least_bytes);
 }
 
@@ -82,13 +83,13 @@
 void Replica::writeSnapshotSlice() {
   if (!own_snapshot_ || own_snapshot_->finished) return;
   if (snapshots_.isSyncing()) {
-    const bool held_too_long = machine_->snapshotBytesHeld() > kMostBytesHeldForDisk;
+    const bool held_too_long = machine_->snapshotBytesHeld() > kMaxBytesBufferedForDisk;
     if (held_too_long) abandonOwnSnapshot("the disk is slow");
     return;
   }
-  const std::uint64_t slice_bytes = std::max(kSliceBytes, snapshots_.currentBytes() / kMostSlices);
+  const std::uint64_t slice_bytes = std::max(kSliceBytes, snapshots_.currentBytes() / kMaxSlices);
   std::uint64_t bytes = 0;
-  while (bytes < slice_bytes || machine_->snapshotBytesHeld() > kMostSnapshotBytesHeldBack) {
+  while (bytes < slice_bytes || machine_->snapshotBytesHeld() > kMaxBufferedSnapshotBytes) {
     const std::optional<std::string> piece = machine_->nextSnapshotPiece();
     if (!piece) {
       finishSnapshot();
@@ -192,13 +193,13 @@
   if (progress.state != ReplicationState::kSnapshot || progress.snapshot_index != reply.last_index) return;
   const bool at_end = reply.next_offset >= snapshots_.currentBytes() && progress.snapshot_offset == reply.next_offset;
   progress.snapshot_offset = reply.next_offset;
-  // At the end the receiver is writing the snapshot: no need to hurry it.
+  // At the end the receiver is writing the snapshot: no need to resend soon.
   if (!at_end) progress.chunk_sent = false;
 }
 
 void Replica::handle(const Identity& from, const Envelope&, const SnapshotChunk& chunk) {
   becomeFollower(record_.term, from);
-  leader_heard_at_ = now_;
+  leader_last_received_at_ = now_;
   resetElectionDeadline();
   if (incoming_ && incoming_->writing) return;
   if (chunk.last_index <= committed_) {
--- a/src/process/consensus/snapshot_store.cpp
+++ b/src/process/consensus/snapshot_store.cpp
@@ -12,7 +12,8 @@
 namespace {
 
 constexpr std::string_view kFilePrefix = "snapshot-";
-/// Synced bit by bit, so that no sync of the log waits long behind one of a whole snapshot.
+/// Unsynced bytes after which a snapshot is synced, so that no sync of the log waits long behind that of a whole
+/// snapshot.
 constexpr std::uint64_t kBytesBetweenSyncs = 256 * 1024;
 
 /// Content of the pointer file.
@@ -49,10 +50,10 @@
     return storageCorruptError(file_, "the snapshot is missing");
   }
   const std::optional<RecordHeader> header = readRecordHeader(valueOf(header_bytes));
-  if (!header) return storageCorruptError(file_, "the snapshot is cut short or damaged");
+  if (!header) return storageCorruptError(file_, "the snapshot is truncated or damaged");
   Result<std::string> body = disk_->readRange(file_, offset_ + kRecordHeaderBytes, header->body_bytes);
   if (!isOk(body)) return errorOf(body);
-  if (!header->matches(valueOf(body))) return storageCorruptError(file_, "the snapshot is cut short or damaged");
+  if (!header->matches(valueOf(body))) return storageCorruptError(file_, "the snapshot is truncated or damaged");
   offset_ += kRecordHeaderBytes + header->body_bytes;
   return body;
 }
@@ -71,7 +72,7 @@
   if (!valueOf(body).empty()) return std::optional<std::string>(valueOf(std::move(body)));
   const Result<std::uint64_t> bytes = disk_->size(file_);
   if (!isOk(bytes)) return errorOf(bytes);
-  if (valueOf(bytes) != offset_) return storageCorruptError(file_, "something follows on the snapshot's end");
+  if (valueOf(bytes) != offset_) return storageCorruptError(file_, "unexpected data after the end of the snapshot");
   return std::optional<std::string>();
 }
 
@@ -113,7 +114,7 @@
 
 Status SnapshotStore::begin(LogIndex index) {
   abandon();
-  // A former try at the same index may have left a part of the file behind.
+  // A previous attempt at the same index may have left a partial file.
   const Status removed = disk_.remove(fileName(index));
   if (!isOk(removed) && errorOf(removed).kind != ErrorKind::kNotFound) return removed;
   writing_index_ = index;
@@ -161,7 +162,7 @@
 
 void SnapshotStore::abandon() {
   if (!writing()) return;
-  // What can't be removed now is removed with the next snapshot, or at the next start.
+  // Files that cannot be removed now are removed with the next snapshot, or at the next start.
   disk_.remove(fileName(writing_index_));
   writing_index_ = 0;
   ++attempt_;
--- a/src/process/consensus/snapshot_store.hpp
+++ b/src/process/consensus/snapshot_store.hpp
@@ -14,7 +14,7 @@
 
 namespace hatchfork::consensus {
 
-/// What a snapshot stands for: the state after the entry at `index`, and the membership in force there.
+/// Identifies the content of a snapshot: the state after the entry at `index`, and the membership in force there.
 struct SnapshotHeader {
   LogIndex index = 0;
   Term term = 0;
@@ -23,19 +23,19 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(SnapshotHeader, index, term, membership)
 
 /// The file of a snapshot: one record for the header, records of the state's pieces, and an empty record at the end, so
-/// that a cut at a record's end is noticed. The same bytes travel in chunks.
+/// that truncation at a record boundary is detected. The same bytes travel in chunks.
 std::string encodeSnapshotHeader(const SnapshotHeader& header);
 std::string encodeSnapshotPiece(std::string_view piece);
 std::string encodeSnapshotEnd();
 
-/// Reads a snapshot's file record by record. Anything cut or damaged is `kStorageCorrupt`.
+/// Reads a snapshot's file record by record. Fails with `kStorageCorrupt` on a truncated or damaged file.
 class SnapshotReader {
  public:
   SnapshotReader(Disk& disk, std::string file) : disk_(&disk), file_(std::move(file)) {}
 
-  /// The first record; to be read once, before the pieces.
+  /// Reads the first record; call once, before the pieces.
   Result<SnapshotHeader> readHeader();
-  /// The next piece; absent after the last one, where the whole file was read.
+  /// Returns the next piece; absent after the last one, once the whole file was read.
   Result<std::optional<std::string>> readPiece();
 
  private:
@@ -46,26 +46,25 @@
   std::uint64_t offset_ = 0;
 };
 
-/// Keeps the newest snapshot of a group. The file `<folder>/snapshot-<index>` is written bit by bit and synced in the
-/// background, and counts only once the pointer file `<folder>/snapshot` names it; so a crash leaves the old or the new
-/// one.
-/// Threading: control thread only.
+/// Keeps the newest snapshot of a group. The file `<folder>/snapshot-<index>` is written incrementally and synced in
+/// the background, and counts only once the pointer file `<folder>/snapshot` names it; so a crash leaves the old or the
+/// new one. Threading: control thread only.
 class SnapshotStore {
  public:
   SnapshotStore(Disk& disk, std::string folder);
 
   /// Finds the snapshot that the pointer names; absent when there is none yet. Files it does not name are removed.
   Result<std::optional<SnapshotHeader>> load();
-  /// Begins the file of a snapshot; one that was being written is given up.
+  /// Begins the file of a snapshot; abandons a file that was being written.
   Status begin(LogIndex index);
   /// Adds bytes of the file that was begun.
   Status append(std::string_view bytes);
   /// Ends the file; `done` is called once it is the durable current one, or with the disk's error.
   void finish(const SnapshotHeader& header, std::function<void(const Status&)> done);
-  /// Gives up the file that is being written; its `done` is not called.
+  /// Abandons the file that is being written; its `done` is not called.
   void abandon();
   bool writing() const { return writing_index_ != 0; }
-  /// A sync of what was appended has not ended: more would wait for the disk.
+  /// True while a sync of appended bytes is running: further bytes would wait for the disk.
   bool isSyncing() const { return writing() && syncs_running_ > 0; }
   /// Index of the current snapshot; zero for none.
   LogIndex currentIndex() const { return current_.index; }
@@ -87,14 +86,15 @@
   std::string folder_;
   SnapshotHeader current_;
   std::uint64_t current_bytes_ = 0;
-  /// Index of the snapshot that is being written, zero for none; its bytes so far, and those that no sync covers yet.
+  /// Index of the snapshot that is being written, zero for none; its bytes so far, and its bytes not yet covered by a
+  /// sync.
   LogIndex writing_index_ = 0;
   std::uint64_t written_bytes_ = 0;
   std::uint64_t unsynced_bytes_ = 0;
   std::size_t syncs_running_ = 0;
   /// The first failure of a sync of that file.
   std::optional<Error> sync_failure_;
-  /// Tells the callbacks of a file that was given up from those of its successor.
+  /// Distinguishes the callbacks of an abandoned file from those of its successor.
   std::uint64_t attempt_ = 0;
   /// Callbacks of the disk outlive this object; they hold a weak reference to it.
   std::shared_ptr<SnapshotStore*> self_;
--- a/src/process/consensus/state_machine.cpp
+++ b/src/process/consensus/state_machine.cpp
@@ -12,23 +12,23 @@
 }  // namespace
 
 void StateMachine::beginSnapshot() {
-  whole_ = snapshot();
-  handed_out_ = 0;
+  snapshot_bytes_ = snapshot();
+  returned_bytes_ = 0;
 }
 
 std::optional<std::string> StateMachine::nextSnapshotPiece() {
-  if (handed_out_ == whole_.size()) {
+  if (returned_bytes_ == snapshot_bytes_.size()) {
     abandonSnapshot();
     return std::nullopt;
   }
-  std::string piece = whole_.substr(handed_out_, kPieceBytes);
-  handed_out_ += piece.size();
+  std::string piece = snapshot_bytes_.substr(returned_bytes_, kPieceBytes);
+  returned_bytes_ += piece.size();
   return piece;
 }
 
 void StateMachine::abandonSnapshot() {
-  releaseMemory(whole_);
-  handed_out_ = 0;
+  releaseMemory(snapshot_bytes_);
+  returned_bytes_ = 0;
 }
 
 void StateMachine::beginRestore() {
@@ -36,12 +36,12 @@
 }
 
 Status StateMachine::restorePiece(std::string piece) {
-  whole_ += piece;
+  snapshot_bytes_ += piece;
   return okStatus();
 }
 
 Status StateMachine::endRestore() {
-  const Status restored = restore(whole_);
+  const Status restored = restore(snapshot_bytes_);
   abandonSnapshot();
   return restored;
 }
--- a/src/process/consensus/state_machine.hpp
+++ b/src/process/consensus/state_machine.hpp
@@ -12,7 +12,7 @@
 
 /// Position in a group's log, from one.
 using LogIndex = std::uint64_t;
-/// Number of a leadership; rises with each election.
+/// Number of a leadership term; increases with each election.
 using Term = std::uint64_t;
 
 /// Deterministic state that a replicated group applies its log to. Two replicas that applied the same entries hold
@@ -30,26 +30,26 @@
   /// Replaces the whole state by that of a snapshot.
   virtual Status restore(std::string_view bytes) = 0;
 
-  /// A snapshot in pieces, which joined stand for the state at `beginSnapshot`, whatever is applied between the pieces.
-  /// A state that can be large overrides these functions; here it is one text, which is handed out piece by piece. A
-  /// snapshot that is begun anew, or restored meanwhile, ends the one that is under way.
+  /// Begins a snapshot in pieces, which together contain the state at this call, whatever is applied between the
+  /// pieces. Implementations with a large state override these functions; by default the result of `snapshot` is
+  /// returned piece by piece. Beginning another snapshot, or a restore, ends the snapshot in progress.
   virtual void beginSnapshot();
-  /// The next piece; absent once all were handed out, and where none is under way.
+  /// Returns the next piece; absent after the last one, and if no snapshot is in progress.
   virtual std::optional<std::string> nextSnapshotPiece();
   virtual void abandonSnapshot();
-  /// Bytes that are held only for the snapshot under way.
-  virtual std::size_t snapshotBytesHeld() const { return whole_.size() - handed_out_; }
+  /// Number of bytes held only for the snapshot in progress.
+  virtual std::size_t snapshotBytesHeld() const { return snapshot_bytes_.size() - returned_bytes_; }
 
-  /// Takes up a snapshot in pieces, cut as they were handed out or in any other way. Nothing of the state is of use
-  /// from `beginRestore` until `endRestore` has succeeded.
+  /// Restores a snapshot from pieces, whose boundaries need not match those of `nextSnapshotPiece`. The state is
+  /// unusable from `beginRestore` until `endRestore` has succeeded.
   virtual void beginRestore();
   virtual Status restorePiece(std::string piece);
   virtual Status endRestore();
 
  private:
-  /// The snapshot under way, or the one that is being taken up.
-  std::string whole_;
-  std::size_t handed_out_ = 0;
+  /// Bytes of the snapshot in progress, or of the one being restored.
+  std::string snapshot_bytes_;
+  std::size_t returned_bytes_ = 0;
 };
 
 }  // namespace hatchfork::consensus
--- a/tests/process/consensus/membership_plan_test.cpp
+++ b/tests/process/consensus/membership_plan_test.cpp
@@ -135,7 +135,7 @@
  public:
   explicit SelfManagedCluster(std::uint64_t seed) : cluster(seed, 3) { cluster.startAll(); }
 
-  /// Runs for a time; at every interval the leader, if there is one, plans.
+  /// Runs the cluster; at every interval the leader, if there is one, plans a change.
   void run(std::int64_t milliseconds) {
     for (std::int64_t passed = 0; passed < milliseconds; passed += plan_interval_ms) {
       plan();
@@ -148,7 +148,7 @@
   TestCluster cluster;
   std::set<ReplicaId> retiring;
   std::int64_t plan_interval_ms = 100;
-  /// Mutation: counts the silence of a learner from an election long ago, although it was added later.
+  /// Mutation: counts the silence of a learner from an earlier election, although it was added later.
   bool counts_silence_from_election = false;
 
  private:
@@ -206,7 +206,7 @@
 TEST_CASE("a member that counts as silent before it was added never comes back", "[plan][sim][mutation]") {
   SelfManagedCluster managed(1);
   managed.counts_silence_from_election = true;
-  // Before a newcomer can have caught up.
+  // Shorter than a new learner needs to catch up.
   managed.plan_interval_ms = 20;
   REQUIRE(managed.cluster.write("a=1"));
   sim::ReplicaHost* lost = managed.cluster.follower();
--- a/tests/process/consensus/replica_test.cpp
+++ b/tests/process/consensus/replica_test.cpp
@@ -62,7 +62,7 @@
     REQUIRE(cluster.write("a=1"));
     sim::ReplicaHost* former = cluster.leader();
     former->crash();
-    // Each goes on for a moment between two stalls that are longer than a heartbeat interval.
+    // Each replica runs briefly between two stalls that are longer than a heartbeat interval.
     bool led = false;
     for (int step = 0; step < 100 && !led; ++step) {
       for (const auto& [name, host] : cluster.hosts()) {
@@ -82,9 +82,9 @@
   }
 }
 
-/// All members of a cluster that has led and written end at once, each comes back at its own time within `spread_ms`,
-/// but for those in `absent`. Returns how long after the last start that was needed for a quorum there was a leader
-/// that had committed in its term; in milliseconds, in steps of the cluster's tick.
+/// Stops all members of a cluster that had a leader and writes, and restarts each at its own time within `spread_ms`,
+/// except those in `absent`. Returns the time from the last start needed for a quorum until a leader has committed in
+/// its term; in milliseconds, with the resolution of the cluster's tick.
 std::int64_t restartAll(TestCluster& cluster, std::uint64_t seed, std::int64_t spread_ms,
                         const std::vector<sim::ReplicaHost*>& absent) {
   std::mt19937_64 random(seed);
@@ -296,7 +296,7 @@
     cluster.startAll();
     sim::ReplicaHost* follower = cluster.follower();
     follower->crash();
-    // Some chunks, some pieces.
+    // Large enough for several chunks and pieces.
     const std::string large(100'000, 'x');
     for (int i = 0; i < 45; ++i) REQUIRE(cluster.write("key" + std::to_string(i) + "=" + large));
     std::mt19937_64 random(seed);
@@ -329,7 +329,7 @@
   CHECK_FALSE(host.group(0)->hasFault());
 }
 
-TEST_CASE("members take their snapshots at moments of their own", "[consensus]") {
+TEST_CASE("members take their snapshots at different times", "[consensus]") {
   Timing timing;
   timing.snapshot_after_entries = 100;
   TestCluster cluster(1, 5, timing);
@@ -364,7 +364,7 @@
   CHECK(status.last_log_index - status.first_log_index < 150);
 }
 
-TEST_CASE("a replica that starts hands over what its log holds before it knows a leader", "[consensus]") {
+TEST_CASE("a starting replica exposes unapplied log commands before it has a leader", "[consensus]") {
   TestCluster cluster(4);
   cluster.startAll();
   REQUIRE(cluster.write("a=1"));
@@ -379,7 +379,7 @@
   REQUIRE(held.front().find("a=1") != std::string::npos);
 }
 
-TEST_CASE("a wiped replica stays mute until a membership change takes it in, and then votes", "[consensus]") {
+TEST_CASE("a wiped replica stays out of the cluster until a membership change adds it, and then votes", "[consensus]") {
   TestCluster cluster(1);
   cluster.startAll();
   REQUIRE(cluster.write("a=1"));
@@ -446,7 +446,7 @@
   CHECK(host.disk().syncCount() - before == 2);
 }
 
-TEST_CASE("a peer that lost entries it had acknowledged is asked at the pace of heartbeats", "[consensus]") {
+TEST_CASE("a peer that lost acknowledged entries is probed once per heartbeat", "[consensus]") {
   TestCluster cluster(1);
   cluster.startAll();
   for (int i = 0; i < 20; ++i) REQUIRE(cluster.write("a=" + std::to_string(i)));
--- a/tests/process/consensus/test_cluster.hpp
+++ b/tests/process/consensus/test_cluster.hpp
@@ -36,7 +36,7 @@
   std::uint64_t count_ = 0;
 };
 
-/// Five simulated replicas (or as many as asked for) of one group, and the steps that tests share.
+/// Simulated replicas of one group (five by default), and the steps that tests share.
 class TestCluster {
  public:
   explicit TestCluster(std::uint64_t seed, std::size_t size = 5, Timing timing = {}) : simulation(seed) {
