--- a/src/process/configuration/configuration_state_machine.cpp
+++ b/src/process/configuration/configuration_state_machine.cpp
@@ -19,8 +19,9 @@
   return Error{kind, std::move(message), std::move(remedy), Executed::kNo, {}};
 }
 
-/// SHA-256 of what the change asks for. Time of proposal and tenant are set by the replica that takes the change and
-/// left out: a resend may reach another one, or come after the change made its own key known.
+/// Returns the SHA-256 of the requested change. The time of the proposal and the tenant are excluded because the
+/// replica that receives the change sets them: a resend may reach another replica, or may arrive after the change
+/// itself registered the API key of its sender.
 std::string digestOf(const ConfigurationChange& change) {
   ConfigurationChange content = change;
   content.proposed_at = 0;
@@ -39,8 +40,8 @@
   }
   const auto* change = std::get_if<control::ApplyChangeRequest>(&valueOf(request));
   if (change == nullptr) {
-    const Error foreign = protocolError("not a command of the configuration group");
-    return encodeTagged(ControlReply(control::ErrorReply{foreign, {}}));
+    const Error unexpected = protocolError("not a command of the configuration group");
+    return encodeTagged(ControlReply(control::ErrorReply{unexpected, {}}));
   }
   return encodeTagged(applyChange(change->change));
 }
@@ -48,7 +49,7 @@
 ControlReply ConfigurationStateMachine::applyChange(const ConfigurationChange& change) {
   if (change.change_id.empty()) {
     return replyOf(refused(ErrorKind::kInvalidArgument, "the change has no identifier",
-                           "choose a change identifier and keep it on a resend"));
+                           "set a change identifier and reuse it when the change is resent"));
   }
   std::string digest = digestOf(change);
   const auto known = answers_.find(change.change_id);
@@ -56,37 +57,37 @@
     if (known->second.digest == digest) return replyOf(known->second.answer);
     return replyOf(refused(ErrorKind::kInvalidArgument,
                            "change " + change.change_id.value + " was sent before with other content",
-                           "use a new change identifier for other content"));
+                           "use a new change identifier for different content"));
   }
-  RememberedAnswer answer{std::move(digest), decide(change)};
+  RecordedAnswer answer{std::move(digest), decide(change)};
   const ControlReply reply = replyOf(answer.answer);
-  remember(change.change_id, std::move(answer));
+  recordAnswer(change.change_id, std::move(answer));
   return reply;
 }
 
 ConfigurationStateMachine::Answer ConfigurationStateMachine::decide(const ConfigurationChange& change) {
   if (change.base_revision != configuration_.revision) {
     return refused(ErrorKind::kConflict,
-                   fmt::format("the change builds on revision {}, the current revision is {}", change.base_revision,
+                   fmt::format("the change is based on revision {}, the current revision is {}", change.base_revision,
                                configuration_.revision),
-                   "read the current configuration and submit a new change that builds on it");
+                   "read the current configuration and submit a new change based on it");
   }
   const Status allowed = checkEditRights(configuration_, change.tenant, change.edits);
   if (!isOk(allowed)) return errorOf(allowed);
   const Status checked = checkEdits(configuration_, change.edits);
   if (!isOk(checked)) return errorOf(checked);
-  KeptChange kept;
-  kept.undo = inverseOf(configuration_, change.edits);
+  RetainedChange retained;
+  retained.undo = inverseOf(configuration_, change.edits);
   applyEdits(configuration_, change.edits, configuration_.revision + 1);
-  kept.entry = HistoryEntry{configuration_.revision, change};
-  keep(std::move(kept));
+  retained.entry = HistoryEntry{configuration_.revision, change};
+  retain(std::move(retained));
   return configuration_.revision;
 }
 
-void ConfigurationStateMachine::keep(KeptChange kept) {
-  kept.bytes = encodeStruct(kept.entry.change).size() + encodeCbor(editsToJson(kept.undo)).size();
-  history_bytes_ += kept.bytes;
-  history_.push_back(std::move(kept));
+void ConfigurationStateMachine::retain(RetainedChange retained) {
+  retained.bytes = encodeStruct(retained.entry.change).size() + encodeCbor(editsToJson(retained.undo)).size();
+  history_bytes_ += retained.bytes;
+  history_.push_back(std::move(retained));
   while (history_.size() > kHistoryEntries || (history_.size() > 1 && history_bytes_ > kHistoryBytes)) {
     history_bytes_ -= history_.front().bytes;
     history_.pop_front();
@@ -101,7 +102,7 @@
   if (actions_.size() > kKeptActions) actions_.pop_front();
 }
 
-void ConfigurationStateMachine::remember(const ChangeId& id, RememberedAnswer answer) {
+void ConfigurationStateMachine::recordAnswer(const ChangeId& id, RecordedAnswer answer) {
   answers_.emplace(id, std::move(answer));
   answer_order_.push_back(id);
   if (answer_order_.size() <= kRememberedAnswers) return;
@@ -127,13 +128,13 @@
   if (!covers(from) || from == configuration_.revision) return delta;
   std::size_t bytes = 0;
   for (std::size_t position = from + 1 - history_.front().entry.revision; position < history_.size(); ++position) {
-    const KeptChange& kept = history_[position];
-    const bool full = !delta.edits.empty() && bytes + kept.bytes > kLargestDeltaBytes;
+    const RetainedChange& retained = history_[position];
+    const bool full = !delta.edits.empty() && bytes + retained.bytes > kLargestDeltaBytes;
     if (full) break;
-    bytes += kept.bytes;
-    const std::vector<ConfigurationEdit>& edits = kept.entry.change.edits;
+    bytes += retained.bytes;
+    const std::vector<ConfigurationEdit>& edits = retained.entry.change.edits;
     delta.edits.insert(delta.edits.end(), edits.begin(), edits.end());
-    delta.to_revision = kept.entry.revision;
+    delta.to_revision = retained.entry.revision;
   }
   return delta;
 }
@@ -152,12 +153,13 @@
 Result<Configuration> ConfigurationStateMachine::configurationAt(Revision revision) const {
   const Revision oldest = history_.empty() ? configuration_.revision : history_.front().entry.revision - 1;
   if (revision > configuration_.revision || revision < oldest) {
-    return refused(ErrorKind::kNotFound, fmt::format("revision {} is not kept", revision),
-                   fmt::format("name a revision from {} to {}", oldest, configuration_.revision));
+    return refused(ErrorKind::kNotFound, fmt::format("revision {} does not exist or is no longer retained", revision),
+                   fmt::format("request a revision from {} to {}", oldest, configuration_.revision));
   }
   Configuration past = configuration_;
-  for (auto kept = history_.rbegin(); kept != history_.rend() && kept->entry.revision > revision; ++kept) {
-    applyEdits(past, kept->undo, kept->entry.revision - 1);
+  for (auto retained = history_.rbegin(); retained != history_.rend() && retained->entry.revision > revision;
+       ++retained) {
+    applyEdits(past, retained->undo, retained->entry.revision - 1);
   }
   return past;
 }
@@ -165,12 +167,13 @@
 std::string ConfigurationStateMachine::snapshot() const {
   nlohmann::json json = {{"configuration", configuration_}, {"actions", actions_}};
   json["history"] = nlohmann::json::array();
-  for (const KeptChange& kept : history_) {
-    json["history"].push_back({{"entry", kept.entry}, {"undo", editsToJson(kept.undo)}, {"bytes", kept.bytes}});
+  for (const RetainedChange& retained : history_) {
+    json["history"].push_back(
+        {{"entry", retained.entry}, {"undo", editsToJson(retained.undo)}, {"bytes", retained.bytes}});
   }
   json["answers"] = nlohmann::json::array();
   for (const ChangeId& id : answer_order_) {
-    const RememberedAnswer& answer = answers_.at(id);
+    const RecordedAnswer& answer = answers_.at(id);
     json["answers"].push_back({{"id", id}, {"digest", answer.digest}, {"reply", taggedToJson(replyOf(answer.answer))}});
   }
   return encodeCbor(json);
@@ -185,10 +188,10 @@
     json.at("configuration").get_to(restored.configuration_);
     json.at("actions").get_to(restored.actions_);
     for (const nlohmann::json& element : json.at("history")) {
-      KeptChange kept{element.at("entry").get<HistoryEntry>(), editsFromJson(element.at("undo")),
-                      element.at("bytes").get<std::size_t>()};
-      restored.history_bytes_ += kept.bytes;
-      restored.history_.push_back(std::move(kept));
+      RetainedChange retained{element.at("entry").get<HistoryEntry>(), editsFromJson(element.at("undo")),
+                              element.at("bytes").get<std::size_t>()};
+      restored.history_bytes_ += retained.bytes;
+      restored.history_.push_back(std::move(retained));
     }
     for (const nlohmann::json& element : json.at("answers")) {
       const Result<ControlReply> reply = taggedFromJson<ControlReply>(element.at("reply"));
@@ -196,13 +199,14 @@
       Answer answer = Revision{0};
       if (const auto* error = std::get_if<control::ErrorReply>(&valueOf(reply))) answer = error->error;
       if (const auto* applied = std::get_if<control::ApplyChangeReply>(&valueOf(reply))) answer = applied->revision;
-      restored.remember(element.at("id").get<ChangeId>(), {element.at("digest").get<std::string>(), std::move(answer)});
+      restored.recordAnswer(element.at("id").get<ChangeId>(),
+                            {element.at("digest").get<std::string>(), std::move(answer)});
     }
     *this = std::move(restored);
     return okStatus();
   } catch (const std::exception& exception) {
-    return refused(ErrorKind::kStorageCorrupt, std::string("damaged configuration snapshot: ") + exception.what(),
-                   "remove the data folder and let the replica join again");
+    return refused(ErrorKind::kStorageCorrupt, std::string("corrupt configuration snapshot: ") + exception.what(),
+                   "delete the data directory of the replica and let it rejoin the group");
   }
 }
 
--- a/src/process/configuration/configuration_state_machine.hpp
+++ b/src/process/configuration/configuration_state_machine.hpp
@@ -16,18 +16,18 @@
 
 namespace hatchfork {
 
-/// Accepted changes kept for deltas and for the operators' history.
+/// Maximum number of accepted changes retained for deltas and for the change history.
 constexpr std::size_t kHistoryEntries = 2000;
-/// Encoded bytes of kept changes; the oldest leave first. The newest change is always kept.
+/// Maximum encoded size of the retained changes in bytes. The oldest are evicted first; the newest is always retained.
 constexpr std::size_t kHistoryBytes = 16u << 20;
-/// Encoded bytes of edits sent in one reply.
+/// Maximum encoded size of the edits in one delta, in bytes. A larger single change is sent whole.
 constexpr std::size_t kLargestDeltaBytes = 256u << 10;
-/// Answers kept to recognise resent changes: two weeks at 1,400 changes a day.
+/// Maximum number of answers retained to deduplicate resent changes: two weeks at 1,400 changes a day.
 constexpr std::size_t kRememberedAnswers = 20'000;
-/// Administrative acts kept for the audit.
+/// Maximum number of administrative actions retained for the audit.
 constexpr std::size_t kKeptActions = 2000;
 
-/// One accepted change and the revision that it made.
+/// An accepted change and the revision that it created.
 struct HistoryEntry {
   Revision revision = 0;
   ConfigurationChange change;
@@ -35,11 +35,11 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(HistoryEntry, revision, change)
 
 /// The configuration as a replicated state machine. Commands: `ApplyChangeRequest` and `RecordActionRequest`; replies:
-/// `ApplyChangeReply` or `ErrorReply`. The rights of the change's tenant are checked here, on the very configuration
-/// that the change applies to. A change is accepted only on the revision that it names. A resent change (same
-/// identifier and content) gets its first answer, accepted or refused, for as long as the answer is remembered; the
-/// same identifier with other content is `kInvalidArgument`. Policy sources are not compiled here: the proposer checks
-/// them. Threading: control thread only.
+/// `ApplyChangeReply` or `ErrorReply`. The rights of the change's tenant are checked against the
+/// configuration that the change applies to. A change is accepted only if its base revision is the current revision. A
+/// resent change (same identifier and content) receives its first answer, accepted or rejected, for as long as the
+/// answer is retained; the same identifier with other content fails with `kInvalidArgument`. Policy sources are not
+/// compiled here: the proposer checks them. Threading: control thread only.
 class ConfigurationStateMachine : public consensus::StateMachine {
  public:
   std::string apply(consensus::LogIndex index, std::string_view command) override;
@@ -47,44 +47,46 @@
   Status restore(std::string_view bytes) override;
 
   const Configuration& configuration() const { return configuration_; }
-  /// True when the kept changes reach back to `from`, so that edits bring a watcher from there to the present.
+  /// True if the retained changes reach back to `from`, so that a watcher at `from` can be updated by deltas.
   bool covers(Revision from) const;
-  /// The next edits for a watcher at a covered revision: whole changes up to kLargestDeltaBytes, and at least one.
+  /// Returns the next edits for a watcher at `from`: whole changes up to `kLargestDeltaBytes`, and at least one. Empty
+  /// if `from` is current or not covered.
   ConfigurationDelta deltaSince(Revision from) const;
-  /// At most `most` accepted changes in order of revision, beginning with revision `from` or the oldest kept.
+  /// Returns at most `most` accepted changes by ascending revision, starting at `from` or at the oldest one retained.
   std::vector<HistoryEntry> history(Revision from, std::size_t most) const;
-  /// The configuration as it was at a revision; `kNotFound` for one to come or older than the kept history reaches.
+  /// Returns the configuration as of `revision`, or `kNotFound` if the revision does not exist yet or is older than the
+  /// retained history.
   Result<Configuration> configurationAt(Revision revision) const;
-  /// Recorded administrative acts, oldest first.
+  /// Recorded administrative actions, oldest first.
   const std::deque<AdminAction>& actions() const { return actions_; }
 
  private:
-  /// The first answer to a change: the revision made, or the error.
+  /// The first answer to a change: the revision created, or the error.
   using Answer = std::variant<Revision, Error>;
 
-  struct RememberedAnswer {
+  struct RecordedAnswer {
     std::string digest;
     Answer answer;
   };
 
-  struct KeptChange {
+  struct RetainedChange {
     HistoryEntry entry;
-    /// Takes the change back; for `configurationAt`.
+    /// Edits that revert the change; used by `configurationAt`.
     std::vector<ConfigurationEdit> undo;
     std::size_t bytes = 0;
   };
 
   control::ControlReply applyChange(const ConfigurationChange& change);
   Answer decide(const ConfigurationChange& change);
-  void keep(KeptChange kept);
+  void retain(RetainedChange retained);
   void recordAction(const AdminAction& action);
-  void remember(const ChangeId& id, RememberedAnswer answer);
+  void recordAnswer(const ChangeId& id, RecordedAnswer answer);
   static control::ControlReply replyOf(const Answer& answer);
 
   Configuration configuration_;
-  std::deque<KeptChange> history_;
+  std::deque<RetainedChange> history_;
   std::size_t history_bytes_ = 0;
-  std::map<ChangeId, RememberedAnswer> answers_;
+  std::map<ChangeId, RecordedAnswer> answers_;
   /// Identifiers in `answers_`, oldest first.
   std::deque<ChangeId> answer_order_;
   std::deque<AdminAction> actions_;
--- a/tests/process/configuration/configuration_state_machine_test.cpp
+++ b/tests/process/configuration/configuration_state_machine_test.cpp
@@ -30,7 +30,8 @@
   return std::get<control::ErrorReply>(reply).error.kind;
 }
 
-TEST_CASE("of two changes with the same base one wins and the other learns the revision", "[configuration]") {
+TEST_CASE("of two changes with the same base revision one is accepted and the other reports the current one",
+          "[configuration]") {
   ConfigurationStateMachine machine;
   const ControlReply first = applyTo(machine, putService("a", 0, "timesheet"));
   const ControlReply second = applyTo(machine, putService("b", 0, "records"));
@@ -72,7 +73,7 @@
   CHECK(errorKindOf(applyTo(machine, putService("", 0, "timesheet"))) == ErrorKind::kInvalidArgument);
 }
 
-TEST_CASE("checks see the edits before them in the same change", "[configuration]") {
+TEST_CASE("an edit is validated after the preceding edits of the same change", "[configuration]") {
   ConfigurationStateMachine machine;
   ConfigurationChange change = putService("a", 0, "timesheet");
   change.edits.push_back(PutEngine{Engine{EngineId("e"), ServiceId("timesheet"), ZoneId("z"), "127.0.0.1", 80}});
@@ -92,7 +93,7 @@
   CHECK(errorKindOf(applyTo(machine, remove)) == ErrorKind::kInvalidArgument);
 }
 
-TEST_CASE("the kept changes reach back a bounded way and are sent in bounded parts", "[configuration]") {
+TEST_CASE("the retained history and the size of a delta are bounded", "[configuration]") {
   ConfigurationStateMachine machine;
   const Revision changes = kHistoryEntries + 5;
   for (Revision base = 0; base < changes; ++base) {
@@ -107,7 +108,7 @@
   CHECK_FALSE(machine.covers(4));
   CHECK_FALSE(machine.covers(changes + 1));
 
-  // A long way is covered in parts of bounded size.
+  // A watcher far behind catches up in several deltas of bounded size.
   Revision reached = 5;
   std::size_t edits = 0;
   while (reached < changes) {
@@ -134,7 +135,7 @@
   CHECK(machine.snapshot() == before);
 }
 
-TEST_CASE("resent, raced and restored changes: one winner a revision, first answers kept",
+TEST_CASE("resent, racing and restored changes: one accepted change per revision, first answers repeated",
           "[configuration][property]") {
   CHECK(testing::holds([] {
     ConfigurationStateMachine machine;
@@ -160,8 +161,7 @@
   }));
 }
 
-TEST_CASE("an earlier configuration can be read as far as the history reaches, also after a restore",
-          "[configuration]") {
+TEST_CASE("past revisions within the retained history can be read, also after a restore", "[configuration]") {
   ConfigurationStateMachine machine;
   applyTo(machine, putService("a", 0, "first"));
   applyTo(machine, putService("b", 1, "second"));
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("rights are judged on the configuration that a change applies to", "[configuration]") {
+TEST_CASE("rights are checked against the configuration that a change applies to", "[configuration]") {
   ConfigurationStateMachine machine;
   ConfigurationChange first = putService("a", 0, "timesheet");
   const std::string hash(64, 'a');
@@ -190,12 +190,12 @@
   ConfigurationChange by_admin = putService("c", 1, "records");
   by_admin.tenant = TenantId("root");
   CHECK(std::get<control::ApplyChangeReply>(applyTo(machine, by_admin)).revision == 2);
-  // The first change closed the administration; resent with the new key it still is the first change.
+  // The first change restricted administration to the new tenant; resent with the new key, it is still recognised.
   first.tenant = TenantId("root");
   CHECK(std::get<control::ApplyChangeReply>(applyTo(machine, first)).revision == 1);
 }
 
-TEST_CASE("administrative acts are recorded once each and survive a restore", "[configuration]") {
+TEST_CASE("administrative actions are recorded once each and survive a restore", "[configuration]") {
   ConfigurationStateMachine machine;
   const auto record = [&machine](const std::string& id) {
     const AdminAction action{ChangeId(id), 5, TenantId("ops"), "aida", "lost disk", "replace control-3"};
