--- a/src/process/subscription/control_client.cpp
+++ b/src/process/subscription/control_client.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr Duration kTimerInterval = fromMillis(20);
-constexpr Duration kRetryPause = fromMillis(60);
-/// A replica that is silent for this long is given up on for the call, and another is asked.
-constexpr Duration kSilenceLimit = fromMillis(800);
+constexpr Duration kRetryDelay = fromMillis(60);
+/// Time without a reply after which the call is sent to another replica.
+constexpr Duration kReplicaTimeout = fromMillis(800);
 
 control::ErrorReply unreachable(bool ever_sent) {
   Error error{ErrorKind::kUnavailable, "no control replica answered in time",
-              "check that a majority of the control replicas runs and is reachable",
+              "check that a majority of the control replicas is running and reachable",
               ever_sent ? Executed::kUnknown : Executed::kNo, fromMillis(1000)};
   return control::ErrorReply{std::move(error), ReplicaId()};
 }
@@ -80,16 +80,16 @@
     const std::size_t candidate = (after + step) % links_.size();
     if (links_[candidate]->isConnected()) return candidate;
   }
-  return kNowhere;
+  return kNoReplica;
 }
 
 void ControlClient::trySend(std::uint64_t number, Call& call) {
   std::size_t& preferred = route_[call.group];
   if (!links_[preferred]->isConnected()) {
     const std::size_t other = nextConnected(preferred);
-    if (other == kNowhere) {
-      call.sent_to = kNowhere;
-      call.next_try = monotonicNow() + kRetryPause;
+    if (other == kNoReplica) {
+      call.sent_to = kNoReplica;
+      call.next_retry = monotonicNow() + kRetryDelay;
       return;
     }
     preferred = other;
@@ -97,7 +97,7 @@
   const WireMessage message = RequestFrame{number, call.group, call.request};
   call.ever_sent = true;
   call.sent_to = preferred;
-  call.next_try = monotonicNow() + kSilenceLimit;
+  call.next_retry = monotonicNow() + kReplicaTimeout;
   links_[preferred]->send(encodeTagged(message));
 }
 
@@ -107,17 +107,17 @@
                                   [&](const ControlEndpoint& replica) { return replica.replica == leader; });
   if (found != replicas_.end()) {
     const std::size_t index = static_cast<std::size_t>(found - replicas_.begin());
-    const bool news = index != refused_by && links_[index]->isConnected();
-    if (news) {
+    const bool can_redirect = index != refused_by && links_[index]->isConnected();
+    if (can_redirect) {
       route_[call.group] = index;
       trySend(number, call);
       return;
     }
   }
   const std::size_t other = nextConnected(refused_by);
-  if (other != kNowhere) route_[call.group] = other;
-  call.sent_to = kNowhere;
-  call.next_try = monotonicNow() + kRetryPause;
+  if (other != kNoReplica) route_[call.group] = other;
+  call.sent_to = kNoReplica;
+  call.next_retry = monotonicNow() + kRetryDelay;
 }
 
 void ControlClient::onFrame(std::size_t replica, const std::string& body) {
@@ -128,7 +128,7 @@
     return;
   }
   const auto found = calls_.find(frame->number);
-  // A late answer of a replica that was given up on is as good as the one waited for, unless it sends elsewhere.
+  // A late reply from a replica that timed out is accepted as well, unless it redirects to another replica.
   if (found == calls_.end()) return;
   Result<control::ControlReply> reply = taggedFromJson<control::ControlReply>(frame->reply);
   if (!isOk(reply)) {
@@ -142,8 +142,8 @@
   }
   const bool retry = error != nullptr && error->error.kind == ErrorKind::kOutcomeUnknown;
   if (retry) {
-    found->second.sent_to = kNowhere;
-    found->second.next_try = monotonicNow() + kRetryPause;
+    found->second.sent_to = kNoReplica;
+    found->second.next_retry = monotonicNow() + kRetryDelay;
     return;
   }
   finish(frame->number, std::move(valueOf(reply)));
@@ -153,8 +153,8 @@
   if (connected || stopped_) return;
   for (auto& [number, call] : calls_) {
     if (call.sent_to != replica) continue;
-    call.sent_to = kNowhere;
-    call.next_try = monotonicNow();
+    call.sent_to = kNoReplica;
+    call.next_retry = monotonicNow();
   }
 }
 
@@ -170,19 +170,19 @@
   while (!stopped_) {
     co_await sleepFor(kTimerInterval);
     const Instant now = monotonicNow();
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     for (auto& [number, call] : calls_) {
       if (call.deadline <= now) {
-        late.push_back(number);
+        expired.push_back(number);
         continue;
       }
-      if (call.next_try > now) continue;
-      const bool silent = call.sent_to != kNowhere && route_[call.group] == call.sent_to;
-      const std::size_t other = silent ? nextConnected(call.sent_to) : kNowhere;
-      if (other != kNowhere) route_[call.group] = other;
+      if (call.next_retry > now) continue;
+      const bool silent = call.sent_to != kNoReplica && route_[call.group] == call.sent_to;
+      const std::size_t other = silent ? nextConnected(call.sent_to) : kNoReplica;
+      if (other != kNoReplica) route_[call.group] = other;
       trySend(number, call);
     }
-    for (const std::uint64_t number : late) finish(number, unreachable(calls_.at(number).ever_sent));
+    for (const std::uint64_t number : expired) finish(number, unreachable(calls_.at(number).ever_sent));
   }
 }
 
--- a/src/process/subscription/control_client.hpp
+++ b/src/process/subscription/control_client.hpp
@@ -22,9 +22,9 @@
   Endpoint endpoint;
 };
 
-/// Calls control replicas: follows the leader of each group, and asks again elsewhere when a replica is lost or does
-/// not lead. Every request may be sent more than once: the replicas recognise resends. Threading: `call` on the control
-/// thread, `callFrom` from a coroutine on any thread.
+/// Client of the control replicas. Follows the leader of each group, and retries on another replica if the connection
+/// is lost or the replica is not the leader. A request may be sent more than once: the replicas deduplicate resends.
+/// Threading: `call` on the control thread, `callFrom` from a coroutine on any thread.
 class ControlClient {
  public:
   using ReplyHandler = std::function<void(control::ControlReply)>;
@@ -34,11 +34,11 @@
 
   void start();
   void stop();
-  /// Answers exactly once. After `timeout`: `kUnavailable`, executed "no" if the request was never sent, else
-  /// "unknown".
+  /// Calls `reply` exactly once. After `timeout` the reply is the error `kUnavailable`, with executed "no" if the
+  /// request was never sent and "unknown" otherwise.
   void call(GroupId group, control::ControlRequest request, Duration timeout, ReplyHandler reply);
   Awaitable<control::ControlReply> callFrom(GroupId group, control::ControlRequest request, Duration timeout);
-  /// Bytes both ways on all links: the cost of control for this node.
+  /// Bytes sent and received on all links: the control traffic of this node.
   std::uint64_t totalBytes() const;
 
  private:
@@ -47,12 +47,12 @@
     nlohmann::json request;
     ReplyHandler reply;
     Instant deadline;
-    /// Replica the call waits for; nothing while it waits for its next try.
-    std::size_t sent_to = kNowhere;
-    Instant next_try;
+    /// Index of the replica that the request was sent to; `kNoReplica` while the call waits for its next retry.
+    std::size_t sent_to = kNoReplica;
+    Instant next_retry;
     bool ever_sent = false;
   };
-  static constexpr std::size_t kNowhere = static_cast<std::size_t>(-1);
+  static constexpr std::size_t kNoReplica = static_cast<std::size_t>(-1);
 
   struct Route {
     std::size_t replica = 0;
@@ -71,7 +71,7 @@
   std::vector<ControlEndpoint> replicas_;
   std::vector<std::shared_ptr<ReconnectingLink>> links_;
   std::map<std::uint64_t, Call> calls_;
-  /// Where each group's requests go first.
+  /// Index of the preferred replica of each group.
   std::map<GroupId, std::size_t> route_;
   std::uint64_t last_number_ = 0;
   bool stopped_ = false;
--- a/src/process/subscription/wire_messages.hpp
+++ b/src/process/subscription/wire_messages.hpp
@@ -11,7 +11,7 @@
 #include "process/control/control_messages.hpp"
 #include "process/control/fleet_view.hpp"
 
-/// The frames on links to and between control replicas: CBOR of `WireMessage`, one for each frame.
+/// Frames on the connections to and between control replicas: each frame holds one `WireMessage` in CBOR.
 namespace hatchfork::connection {
 
 /// A consensus message between two replicas.
@@ -20,18 +20,19 @@
   GroupId group = 0;
   ReplicaId from;
   ReplicaId to;
-  /// Opaque bytes of the consensus module.
+  /// Message of the consensus module, opaque here.
   std::string body;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(PeerFrame, group, from, to, body)
 
+/// A gateway announcement.
 struct AnnouncementFrame {
   static constexpr std::string_view kKind = "a";
   control::GatewayAnnouncement announcement;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(AnnouncementFrame, announcement)
 
-/// A request of a gateway; `number` is unique on its connection.
+/// A request from a gateway; `number` is unique per connection.
 struct RequestFrame {
   static constexpr std::string_view kKind = "q";
   std::uint64_t number = 0;
@@ -41,6 +42,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(RequestFrame, number, group, request)
 
+/// The reply to the request with the same `number`.
 struct ReplyFrame {
   static constexpr std::string_view kKind = "r";
   std::uint64_t number = 0;
