--- a/src/process/batch/batch_state_machine.cpp
+++ b/src/process/batch/batch_state_machine.cpp
@@ -9,7 +9,7 @@
 
 using control::ControlReply;
 
-constexpr std::size_t kLongestIdempotencyKey = 256;
+constexpr std::size_t kMaxIdempotencyKeyBytes = 256;
 
 ControlReply refused(ErrorKind kind, std::string message, std::string remedy) {
   return control::ErrorReply{Error{kind, std::move(message), std::move(remedy), Executed::kNo, {}}, {}};
@@ -20,12 +20,12 @@
 }
 
 ControlReply unknownJob(const JobId& job) {
-  return refused(ErrorKind::kNotFound, "no job " + job.value, "check the job identifier and the API key");
+  return refused(ErrorKind::kNotFound, "unknown job " + job.value, "check the job identifier and the API key");
 }
 
 }  // namespace
 
-/// Sends each command to its handler; queries and foreign commands are refused.
+/// Dispatches each command to its handler; rejects queries and commands of other groups.
 struct BatchStateMachine::Applier {
   BatchStateMachine& machine;
 
@@ -69,7 +69,7 @@
 
 ControlReply BatchStateMachine::create(const control::CreateJobRequest& request) {
   const JobSpec& spec = request.spec;
-  if (spec.tenant.empty() || spec.idempotency_key.empty() || spec.idempotency_key.size() > kLongestIdempotencyKey) {
+  if (spec.tenant.empty() || spec.idempotency_key.empty() || spec.idempotency_key.size() > kMaxIdempotencyKeyBytes) {
     return refused(ErrorKind::kInvalidArgument, "a job needs a tenant and an idempotency key of 1 to 256 bytes",
                    "send an Idempotency-Key header");
   }
@@ -80,8 +80,9 @@
     JobSpec same = spec;
     same.deadline = job.spec().deadline;
     if (job.spec() == same) return control::JobReply{job.status()};
-    return refused(ErrorKind::kConflict, "the idempotency key names " + job.id().value + " with other settings",
-                   "send the first settings again, or use a new idempotency key");
+    return refused(ErrorKind::kConflict,
+                   "the idempotency key was used for " + job.id().value + " with different settings",
+                   "resend the original settings, or use a new idempotency key");
   }
   ++last_number_;
   const Job& job =
@@ -121,7 +122,8 @@
   Job* job = mutableJob(request.job);
   if (job == nullptr) return unknownJob(request.job);
   if (!job->spec().unrepeatable || request.items.size() != request.attempts.size()) {
-    return refused(ErrorKind::kInvalidArgument, "a start needs an unrepeatable job and one attempt for each item",
+    return refused(ErrorKind::kInvalidArgument,
+                   "starting items requires an unrepeatable job and one attempt number per item",
                    "check that both sides run the same release");
   }
   control::StartItemsReply reply;
@@ -241,8 +243,8 @@
     return okStatus();
   } catch (const std::exception& exception) {
     return Error{ErrorKind::kStorageCorrupt,
-                 std::string("damaged batch snapshot: ") + exception.what(),
-                 "remove the data folder and let the replica join again",
+                 std::string("corrupt batch snapshot: ") + exception.what(),
+                 "delete the data directory of the replica and let it rejoin the group",
                  Executed::kNo,
                  {}};
   }
--- a/src/process/batch/batch_state_machine.hpp
+++ b/src/process/batch/batch_state_machine.hpp
@@ -15,16 +15,16 @@
 
 namespace hatchfork::batch {
 
-/// Most results, and most bytes of results, in one `ResultsReply`; a page holds at least one result.
+/// Maximum number and maximum size in bytes of the results in one `ResultsReply`. A page may exceed the size
+/// limit by its last result.
 constexpr std::uint32_t kMaxResultsPerPage = 5000;
 constexpr std::size_t kMaxResultBytesPerPage = 4u << 20;
 
 /// The batch jobs of one replicated group. Commands: `CreateJobRequest`, `AddPartRequest`, `SealJobRequest`,
 /// `CancelJobRequest`, `StartItemsRequest`, `CompleteItemsRequest`, `ClaimRunRequest`; replies: the matching
-/// `ControlReply` or `ErrorReply`. Every command may be resent: jobs are named by (tenant, idempotency key), parts by
-/// number and content, item ends by the item, whose first terminal state wins.
-/// The deadline of a job is not part of the comparison of a resent `CreateJobRequest`: gateways work it out from the
-/// time of receipt; the first one stands.
+/// `ControlReply` or `ErrorReply`. Every command may be resent: jobs are identified by (tenant, idempotency key), parts
+/// by number and content, outcomes by the item, whose first terminal state wins. A resent `CreateJobRequest` is
+/// compared without its deadline, which gateways compute from the time of receipt; the first deadline applies.
 /// Threading: control thread only.
 class BatchStateMachine : public consensus::StateMachine {
  public:
@@ -34,25 +34,26 @@
   std::string snapshot() const override;
   Status restore(std::string_view bytes) override;
 
-  /// `JobReply`, or `ErrorReply` with `kNotFound`, also where the job is another tenant's.
+  /// Returns `JobReply`, or `ErrorReply` with `kNotFound` if the job is unknown or belongs to another tenant.
   control::ControlReply getJob(const control::GetJobRequest& request) const;
-  /// `JobReply`, or `ErrorReply` with `kNotFound`.
+  /// Returns `JobReply`, or `ErrorReply` with `kNotFound`.
   control::ControlReply findNamedJob(const control::FindJobRequest& request) const;
-  /// `ResultsReply` with the terminal items from `from` up to the first item that is not terminal or the page limit; a
-  /// reader of a running job polls from `next`. A job that is not sealed is `kConflict`.
+  /// Returns `ResultsReply` with the terminal items from `from` up to the first item that is not terminal or the page
+  /// limit; a reader of a running job polls from `next`. A job that is not sealed gives `kConflict`.
   control::ControlReply getResults(const control::GetResultsRequest& request) const;
 
   /// Null for an unknown job. The pointer is valid until the next `apply` or `restore`.
   const Job* findJob(const JobId& id) const;
   const Job* findJob(JobNumber number) const;
-  /// Sealed, unfinished jobs with a seal sequence above `sequence`, in that order. Finished jobs cost nothing here.
+  /// Returns the sealed, unfinished jobs with a seal sequence above `sequence`, in ascending order. The cost does not
+  /// depend on the number of finished jobs.
   std::vector<const Job*> runningJobsAfter(std::uint64_t sequence) const;
   bool hasRunningJobs() const { return !running_.empty(); }
   /// Running jobs that have items in state `kStarted`.
   std::vector<const Job*> jobsWithStartedItems() const;
   GroupId group() const { return group_; }
   std::size_t jobCount() const { return jobs_.size(); }
-  /// Bytes that jobs take in memory, without allocator overhead. Walks all jobs.
+  /// Returns the memory used by all jobs in bytes, without allocator overhead. Iterates over all jobs.
   std::size_t memoryBytes() const;
 
  private:
@@ -76,7 +77,7 @@
   GroupId group_;
   JobNumber last_number_ = 0;
   std::uint64_t last_seal_sequence_ = 0;
-  /// Wall time of the newest command that carried one: times of records never go back.
+  /// Highest wall time of the commands applied so far, so that recorded times never decrease.
   WallMillis latest_time_ = 0;
   std::map<JobNumber, Job> jobs_;
   RunClaims claims_;
--- a/src/process/batch/batch_types.hpp
+++ b/src/process/batch/batch_types.hpp
@@ -10,7 +10,7 @@
 
 namespace hatchfork::batch {
 
-/// Terminal states are all but `kPending` and `kStarted`; an item enters exactly one of them, once.
+/// All states except `kPending` and `kStarted` are terminal; an item enters exactly one terminal state, once.
 enum class ItemState : std::uint8_t { kPending, kStarted, kCompleted, kFailed, kCancelled, kOutcomeUnknown };
 NLOHMANN_JSON_SERIALIZE_ENUM(ItemState, {{ItemState::kPending, "pending"},
                                          {ItemState::kStarted, "started"},
@@ -23,19 +23,19 @@
   return state != ItemState::kPending && state != ItemState::kStarted;
 }
 
-/// Receiving parts, then sealed (running), then finished when every item is terminal.
+/// A job receives parts, runs once it is sealed, and is finished when every item is terminal.
 enum class JobState : std::uint8_t { kReceiving, kRunning, kCancelling, kFinished };
 NLOHMANN_JSON_SERIALIZE_ENUM(JobState, {{JobState::kReceiving, "receiving"},
                                         {JobState::kRunning, "running"},
                                         {JobState::kCancelling, "cancelling"},
                                         {JobState::kFinished, "finished"}})
 
-/// What all items of a job share. `(tenant, idempotency_key)` names the job.
+/// Settings shared by all items of a job. `(tenant, idempotency_key)` identifies the job.
 struct JobSpec {
   TenantId tenant;
   std::string idempotency_key;
   ServiceId service;
-  /// Items whose run must never be repeated: the start is committed before dispatch.
+  /// True if no item may run twice: the start of each item is committed before dispatch.
   bool unrepeatable = false;
   /// Wall time by which the job should be finished; zero for none.
   WallMillis deadline = 0;
@@ -43,7 +43,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(JobSpec, tenant, idempotency_key, service, unrepeatable, deadline)
 
-/// One request of a job: the caller's own name for it and the JSON text of the request body.
+/// One request of a job: the identifier chosen by the caller and the JSON text of the request body.
 struct Item {
   std::string custom_id;
   std::string body;
@@ -51,7 +51,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(Item, custom_id, body)
 
-/// An item handed to a gateway for one attempt.
+/// An item leased to a gateway for one attempt.
 struct LeasedItem {
   ItemIndex index = 0;
   AttemptNumber attempt = 0;
@@ -59,7 +59,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(LeasedItem, index, attempt, item)
 
-/// The end of one attempt: `state` is terminal; `result` is the JSON text of the answer or of the error.
+/// The outcome of one attempt: `state` is terminal; `result` is the JSON text of the response or of the error.
 struct ItemOutcome {
   ItemIndex index = 0;
   AttemptNumber attempt = 0;
@@ -78,7 +78,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(JobCounts, total, completed, failed, cancelled, outcome_unknown)
 
-/// What callers see of a job.
+/// Status of a job as reported to callers.
 struct JobStatus {
   JobId job;
   JobSpec spec;
@@ -90,7 +90,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(JobStatus, job, spec, state, parts, counts, created_at, finished_at)
 
-/// One readable result line.
+/// Result of one item as reported to callers.
 struct ItemResult {
   ItemIndex index = 0;
   std::string custom_id;
--- a/src/process/batch/byte_arena.cpp
+++ b/src/process/batch/byte_arena.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 constexpr std::size_t kFirstChunkBytes = 4u << 10;
-constexpr std::size_t kLargestChunkBytes = 1u << 20;
+constexpr std::size_t kMaxChunkBytes = 1u << 20;
 
-/// Bytes after which the chunk at this position is full. A longer string gets a chunk of its own.
-std::size_t fullAt(std::size_t position) {
+/// Returns the size limit in bytes of the chunk at `position`. A longer string gets a chunk of its own.
+std::size_t chunkLimit(std::size_t position) {
   std::size_t bytes = kFirstChunkBytes;
-  while (position-- > 0 && bytes < kLargestChunkBytes) bytes *= 2;
+  while (position-- > 0 && bytes < kMaxChunkBytes) bytes *= 2;
   return bytes;
 }
 
@@ -19,10 +19,10 @@
 
 ArenaSlice ByteArena::append(std::string_view bytes) {
   if (bytes.empty()) return {};
-  const bool fits = !chunks_.empty() && chunks_.back().size() + bytes.size() <= fullAt(chunks_.size() - 1);
+  const bool fits = !chunks_.empty() && chunks_.back().size() + bytes.size() <= chunkLimit(chunks_.size() - 1);
   if (!fits) chunks_.emplace_back();
   std::string& chunk = chunks_.back();
-  chunk.reserve(std::max(fullAt(chunks_.size() - 1), bytes.size()));
+  chunk.reserve(std::max(chunkLimit(chunks_.size() - 1), bytes.size()));
   const ArenaSlice slice{static_cast<std::uint32_t>(chunks_.size() - 1), static_cast<std::uint32_t>(chunk.size()),
                          static_cast<std::uint32_t>(bytes.size())};
   chunk.append(bytes);
--- a/src/process/batch/byte_arena.hpp
+++ b/src/process/batch/byte_arena.hpp
@@ -8,7 +8,7 @@
 
 namespace hatchfork::batch {
 
-/// Where a piece of text lies in a `ByteArena`.
+/// Position of a byte string in a `ByteArena`.
 struct ArenaSlice {
   std::uint32_t chunk = 0;
   std::uint32_t offset = 0;
@@ -16,8 +16,8 @@
 };
 
 /// Append-only store of byte strings in large chunks: no allocation and no object per string, and growth never copies
-/// what is already held. Where a string lies follows from the strings appended before it alone, never from the capacity
-/// of a buffer, so a restored arena goes on as the original does.
+/// stored strings. The position of a string depends only on the strings appended before, never on the capacity of a
+/// buffer, so a restored arena assigns the same positions as the original.
 class ByteArena {
  public:
   ArenaSlice append(std::string_view bytes);
--- a/src/process/batch/item_leases.cpp
+++ b/src/process/batch/item_leases.cpp
@@ -7,8 +7,8 @@
 namespace hatchfork::batch {
 namespace {
 
-/// Attempt numbers of one leadership begin at term * 2^16: higher than those of every earlier leadership as long as no
-/// item is leased 65,536 times in one.
+/// Attempt numbers in a term begin at term * 2^16, so they are higher than those of every earlier term as long as no
+/// item is leased 65,536 times in one term.
 constexpr unsigned kAttemptBitsPerTerm = 16;
 
 WallMillis deadlineOrder(const JobSpec& spec) {
@@ -31,23 +31,23 @@
   reply.lease_ms = static_cast<std::uint32_t>(toMillis(options_.lease));
   const auto known = sessions_.find(session);
   if (known != sessions_.end()) known->second.last_request = now;
-  admitSealedJobs(machine);
+  enqueueSealedJobs(machine);
   renew(now, session, request, machine, reply);
-  dropUnnamed(now, session, machine);
+  dropExpired(now, session, machine);
   const bool in_grace = now < options_.started + options_.grace;
   if (in_grace) return reply;
-  Handout handout{now, session, machine, reply, 0, 0};
+  LeaseGrant grant{now, session, machine, reply, 0, 0};
   for (const control::WantedItems& wanted : request.wanted) {
     const auto queue = queues_.find(wanted.service);
     if (queue == queues_.end()) continue;
-    handout.wanted = wanted.most;
-    serveService(handout, queue->second);
+    grant.wanted = wanted.most;
+    serveService(grant, queue->second);
     if (queue->second.tenants.empty()) queues_.erase(queue);
   }
   return reply;
 }
 
-void ItemLeases::admitSealedJobs(const BatchStateMachine& machine) {
+void ItemLeases::enqueueSealedJobs(const BatchStateMachine& machine) {
   for (const Job* job : machine.runningJobsAfter(seen_seal_sequence_)) {
     seen_seal_sequence_ = job->sealSequence();
     if (canRun(*job)) enqueue(*job);
@@ -78,19 +78,19 @@
     if (freed != leases.freed.end()) leases.freed.erase(freed);
     leases.leased.emplace(index, ItemLease{session, attempt, now});
   } else if (known->second.holder == session) {
-    known->second.named_at = now;
+    known->second.renewed_at = now;
   } else if (is_started) {
-    // The committed start outranks a lease given to another session meanwhile.
-    forget(known->second.holder, ItemKey{job.number(), index});
+    // The committed start takes precedence over a lease granted to another session in the meantime.
+    removeFromSession(known->second.holder, ItemKey{job.number(), index});
     known->second.holder = session;
-    known->second.named_at = now;
+    known->second.renewed_at = now;
   } else {
     return;
   }
-  hold(now, session, ItemKey{job.number(), index});
+  addToSession(now, session, ItemKey{job.number(), index});
 }
 
-void ItemLeases::dropUnnamed(Instant now, const SessionKey& session, const BatchStateMachine& machine) {
+void ItemLeases::dropExpired(Instant now, const SessionKey& session, const BatchStateMachine& machine) {
   const auto held = sessions_.find(session);
   if (held == sessions_.end()) return;
   const std::set<ItemKey> items = held->second.items;
@@ -99,62 +99,62 @@
     JobLeases& leases = jobs_.at(item.job);
     const auto lease = leases.leased.find(item.index);
     const bool ended = job == nullptr || isTerminal(job->itemState(item.index));
-    const bool lapsed = now - lease->second.named_at >= options_.lease;
+    const bool lapsed = now - lease->second.renewed_at >= options_.lease;
     if (!ended && !lapsed) continue;
     const AttemptNumber attempt = lease->second.attempt;
     leases.leased.erase(lease);
-    forget(session, item);
+    removeFromSession(session, item);
     if (!ended) free(*job, item.index, attempt);
     const bool job_ended = job == nullptr || job->state() == JobState::kFinished;
     if (job_ended && leases.leased.empty()) jobs_.erase(item.job);
   }
 }
 
-void ItemLeases::serveService(Handout& handout, ServiceQueue& queue) {
+void ItemLeases::serveService(LeaseGrant& grant, ServiceQueue& queue) {
   if (queue.tenants.empty()) return;
-  const auto share = std::max<std::uint32_t>(1, handout.wanted / static_cast<std::uint32_t>(queue.tenants.size()));
-  while (!handout.isFull() && !queue.tenants.empty()) {
+  const auto share = std::max<std::uint32_t>(1, grant.wanted / static_cast<std::uint32_t>(queue.tenants.size()));
+  while (!grant.isFull() && !queue.tenants.empty()) {
     auto tenant = queue.tenants.upper_bound(queue.last_served);
     if (tenant == queue.tenants.end()) tenant = queue.tenants.begin();
     queue.last_served = tenant->first;
-    serveTenant(handout, tenant->second, share);
+    serveTenant(grant, tenant->second, share);
     if (tenant->second.empty()) queue.tenants.erase(tenant);
   }
 }
 
-void ItemLeases::serveTenant(Handout& handout, JobQueue& queue, std::uint32_t share) {
-  while (share > 0 && !handout.isFull() && !queue.empty()) {
+void ItemLeases::serveTenant(LeaseGrant& grant, JobQueue& queue, std::uint32_t share) {
+  while (share > 0 && !grant.isFull() && !queue.empty()) {
     const JobNumber number = queue.begin()->job;
-    const Job* job = handout.machine.findJob(number);
+    const Job* job = grant.machine.findJob(number);
     if (job == nullptr || !canRun(*job)) {
       queue.erase(queue.begin());
       const auto leases = jobs_.find(number);
       if (leases != jobs_.end() && leases->second.leased.empty()) jobs_.erase(leases);
       continue;
     }
-    const std::uint32_t given = serveJob(handout, *job, share);
+    const std::uint32_t given = serveJob(grant, *job, share);
     share -= given;
-    // Stopped early for want of items: nothing of this job is leasable until an item is freed.
-    if (share > 0 && !handout.isFull()) queue.erase(queue.begin());
+    // Stopped because the job has no more leasable items: dequeues the job until an item is freed.
+    if (share > 0 && !grant.isFull()) queue.erase(queue.begin());
   }
 }
 
-std::uint32_t ItemLeases::serveJob(Handout& handout, const Job& job, std::uint32_t most) {
+std::uint32_t ItemLeases::serveJob(LeaseGrant& grant, const Job& job, std::uint32_t most) {
   control::LeasedBundle bundle;
   bundle.job = job.id();
   bundle.spec = job.spec();
   JobLeases& leases = jobs_[job.number()];
-  while (bundle.items.size() < most && !handout.isFull()) {
-    std::optional<LeasedItem> item = takeItem(handout, job, leases);
+  while (bundle.items.size() < most && !grant.isFull()) {
+    std::optional<LeasedItem> item = takeItem(grant, job, leases);
     if (!item) break;
     bundle.items.push_back(std::move(*item));
   }
   const auto given = static_cast<std::uint32_t>(bundle.items.size());
-  if (given > 0) handout.reply.bundles.push_back(std::move(bundle));
+  if (given > 0) grant.reply.bundles.push_back(std::move(bundle));
   return given;
 }
 
-std::optional<LeasedItem> ItemLeases::takeItem(Handout& handout, const Job& job, JobLeases& leases) {
+std::optional<LeasedItem> ItemLeases::takeItem(LeaseGrant& grant, const Job& job, JobLeases& leases) {
   LeasedItem item;
   bool found = false;
   while (!found && !leases.freed.empty()) {
@@ -173,21 +173,21 @@
   }
   if (!found) return std::nullopt;
   item.item = job.item(item.index);
-  leases.leased.emplace(item.index, ItemLease{handout.session, item.attempt, handout.now});
-  hold(handout.now, handout.session, ItemKey{job.number(), item.index});
-  --handout.wanted;
-  handout.bytes += item.item.custom_id.size() + item.item.body.size();
+  leases.leased.emplace(item.index, ItemLease{grant.session, item.attempt, grant.now});
+  addToSession(grant.now, grant.session, ItemKey{job.number(), item.index});
+  --grant.wanted;
+  grant.bytes += item.item.custom_id.size() + item.item.body.size();
   return item;
 }
 
-void ItemLeases::hold(Instant now, const SessionKey& session, ItemKey item) {
+void ItemLeases::addToSession(Instant now, const SessionKey& session, ItemKey item) {
   SessionState& state = sessions_[session];
   state.items.insert(item);
   state.last_request = now;
 }
 
 void ItemLeases::free(const Job& job, ItemIndex index, AttemptNumber attempt) {
-  // Started items are never leased again: their holder's outcome or `expire` ends them.
+  // Started items are never leased again: the outcome from their holder or `expire` makes them terminal.
   if (job.itemState(index) != ItemState::kPending) return;
   jobs_[job.number()].freed.insert_or_assign(index, attempt);
   enqueue(job);
@@ -198,7 +198,7 @@
   queues_[job.spec().service].tenants[job.spec().tenant].insert(JobOrder{deadlineOrder(job.spec()), job.number()});
 }
 
-void ItemLeases::forget(const SessionKey& session, ItemKey item) {
+void ItemLeases::removeFromSession(const SessionKey& session, ItemKey item) {
   const auto held = sessions_.find(session);
   if (held == sessions_.end()) return;
   held->second.items.erase(item);
@@ -216,7 +216,7 @@
     if (lease == leases.leased.end() || lease->second.holder != session) continue;
     const AttemptNumber attempt = lease->second.attempt;
     leases.leased.erase(lease);
-    forget(session, ItemKey{job->number(), index});
+    removeFromSession(session, ItemKey{job->number(), index});
     free(*job, index, attempt);
   }
 }
@@ -226,11 +226,11 @@
   for (const auto& [session, state] : sessions_) {
     if (now - state.last_request >= options_.lease) silent.push_back(session);
   }
-  for (const SessionKey& session : silent) dropUnnamed(now, session, machine);
+  for (const SessionKey& session : silent) dropExpired(now, session, machine);
 
   std::erase_if(reported_, [&](const auto& entry) { return now - entry.second >= options_.lease; });
   std::vector<control::CompleteItemsRequest> reports;
-  // Sessions of the former leader get the grace period to name what they hold.
+  // Sessions of the former leader may list the items that they hold until the grace period ends.
   if (now < options_.started + options_.grace) return reports;
   for (const Job* job : machine.jobsWithStartedItems()) reportLostStarts(now, *job, reports);
   return reports;
@@ -242,7 +242,7 @@
   const auto lease = leases->second.leased.find(index);
   if (lease == leases->second.leased.end()) return false;
   const bool holds = lease->second.holder == SessionKey{record.gateway, record.session};
-  return holds && now - lease->second.named_at < options_.lease;
+  return holds && now - lease->second.renewed_at < options_.lease;
 }
 
 void ItemLeases::reportLostStarts(Instant now, const Job& job, std::vector<control::CompleteItemsRequest>& reports) {
--- a/src/process/batch/item_leases.hpp
+++ b/src/process/batch/item_leases.hpp
@@ -16,40 +16,41 @@
 
 namespace hatchfork::batch {
 
-/// Most bytes of item bodies in one `LeaseItemsReply`; a reply with items holds at least one.
+/// Maximum size in bytes of the item names and bodies in one `LeaseItemsReply`, which may be exceeded by the last item.
 constexpr std::size_t kMaxLeaseBytes = 2u << 20;
 
 struct ItemLeasesOptions {
-  /// How long an item stays leased after the last request that named it.
+  /// Time for which an item stays leased after the last request that listed the item.
   Duration lease = std::chrono::seconds(5);
-  /// A new leader hands out nothing for this long, so that sessions can name what they hold under the former leader.
-  /// At least `lease` keeps items from being run twice after a leader change.
+  /// Time for which a new leader grants no leases, so that sessions can list the items leased by the former leader.
+  /// A value of at least `lease` prevents items from running twice after a leader change.
   Duration grace = std::chrono::seconds(5);
-  /// Term of this leadership: attempt numbers of a later term are higher.
+  /// Consensus term of the leader: attempt numbers of a later term are higher.
   consensus::Term term = 1;
-  /// When this leadership began.
+  /// Time at which the leader was elected.
   Instant started;
 };
 
-/// The soft state of a batch group's leader: which gateway session may run which items, and until when. Made anew with
-/// each leadership and dropped with it. Nothing here is needed for safety: the first committed end of an item wins, and
-/// unrepeatable items are started by a commit. A gateway must name an item in `holding` until the reply to its
-/// completion has come: an item that its session has not named for the length of a lease is leasable again.
-/// Cost grows with leased items and with jobs that have leasable items, not with finished jobs.
-/// Threading: control thread only.
+/// The soft state of the leader of a batch group: which gateway session may run which items, and until when. Created
+/// for each leadership and discarded at its end. Safety does not depend on this state: the first committed outcome of
+/// an item wins, and unrepeatable items are started by a commit. A gateway must list an item in `holding` until the
+/// reply to its completion has arrived: an item that its session has not listed for the length of a lease is leasable
+/// again. Cost grows with leased items and with jobs that have leasable items, not with finished jobs. Threading:
+/// control thread only.
 class ItemLeases {
  public:
   explicit ItemLeases(ItemLeasesOptions options);
 
-  /// Renews what the session names, adopts what it names and nobody else holds, then leases the wanted number of new
-  /// tenants take turns, each tenant's jobs in order of deadline.
+  /// Renews the items that the session lists, adopts listed items that no other session holds, then leases up to the
+  /// wanted number of new items: tenants are served round-robin, each tenant's jobs in order of deadline.
   control::LeaseItemsReply lease(Instant now, const control::LeaseItemsRequest& request,
                                  const BatchStateMachine& machine);
-  /// Makes items leasable again that a session gave back unrun.
+  /// Makes items leasable again that a session returned without running them.
   void giveBack(const GatewayId& gateway, std::uint64_t session, const JobId& job,
                 const std::vector<ItemIndex>& returned, const BatchStateMachine& machine);
-  /// Frees items of silent sessions. Returns `outcome_unknown` ends, ready to be proposed, of started items whose
-  /// lease ended; the caller fills in `now`. The same end is not returned again before a lease length has passed.
+  /// Frees the items of sessions that sent no request for a lease length. Returns `outcome_unknown` outcomes, ready to
+  /// be proposed, for started items whose lease expired; the caller sets `now`. The same outcome is not returned again
+  /// before a lease length has passed.
   std::vector<control::CompleteItemsRequest> expire(Instant now, const BatchStateMachine& machine);
 
   std::size_t leasedItems() const;
@@ -64,23 +65,23 @@
   struct ItemLease {
     SessionKey holder;
     AttemptNumber attempt = 0;
-    Instant named_at;
+    Instant renewed_at;
   };
   struct ItemKey {
     JobNumber job = 0;
     ItemIndex index = 0;
     auto operator<=>(const ItemKey&) const = default;
   };
-  /// Deadline first, then age.
+  /// Orders jobs by deadline, then by age.
   struct JobOrder {
     WallMillis deadline = 0;
     JobNumber job = 0;
     auto operator<=>(const JobOrder&) const = default;
   };
   struct JobLeases {
-    /// Items below were leased, found leased or found ended at least once.
+    /// All items below this index were leased, or were found leased or terminal, at least once.
     ItemIndex cursor = 0;
-    /// Freed items with the last attempt number given.
+    /// Freed items with their last assigned attempt number.
     std::map<ItemIndex, AttemptNumber> freed;
     std::map<ItemIndex, ItemLease> leased;
   };
@@ -95,8 +96,8 @@
     std::set<ItemKey> items;
     Instant last_request;
   };
-  /// One call of `lease`: what is still wanted and what was given.
-  struct Handout {
+  /// State of one call of `lease`: the number of items still wanted and the size of the items leased so far.
+  struct LeaseGrant {
     Instant now;
     SessionKey session;
     const BatchStateMachine& machine;
@@ -106,20 +107,20 @@
     bool isFull() const { return wanted == 0 || bytes >= kMaxLeaseBytes; }
   };
 
-  void admitSealedJobs(const BatchStateMachine& machine);
+  void enqueueSealedJobs(const BatchStateMachine& machine);
   void renew(Instant now, const SessionKey& session, const control::LeaseItemsRequest& request,
              const BatchStateMachine& machine, control::LeaseItemsReply& reply);
   void renewItem(Instant now, const SessionKey& session, const Job& job, ItemIndex index);
-  void hold(Instant now, const SessionKey& session, ItemKey item);
-  /// Frees the session's items that it has not named for a lease length, and forgets those that have ended.
-  void dropUnnamed(Instant now, const SessionKey& session, const BatchStateMachine& machine);
-  void serveService(Handout& handout, ServiceQueue& queue);
-  void serveTenant(Handout& handout, JobQueue& queue, std::uint32_t share);
-  std::uint32_t serveJob(Handout& handout, const Job& job, std::uint32_t most);
-  std::optional<LeasedItem> takeItem(Handout& handout, const Job& job, JobLeases& leases);
+  void addToSession(Instant now, const SessionKey& session, ItemKey item);
+  /// Frees the items that the session has not listed for a lease length, and drops terminal items.
+  void dropExpired(Instant now, const SessionKey& session, const BatchStateMachine& machine);
+  void serveService(LeaseGrant& grant, ServiceQueue& queue);
+  void serveTenant(LeaseGrant& grant, JobQueue& queue, std::uint32_t share);
+  std::uint32_t serveJob(LeaseGrant& grant, const Job& job, std::uint32_t most);
+  std::optional<LeasedItem> takeItem(LeaseGrant& grant, const Job& job, JobLeases& leases);
   void free(const Job& job, ItemIndex index, AttemptNumber attempt);
   void enqueue(const Job& job);
-  void forget(const SessionKey& session, ItemKey item);
+  void removeFromSession(const SessionKey& session, ItemKey item);
   bool holderIsLive(Instant now, const Job& job, ItemIndex index, const StartRecord& record) const;
   void reportLostStarts(Instant now, const Job& job, std::vector<control::CompleteItemsRequest>& reports);
 
--- a/src/process/batch/job.cpp
+++ b/src/process/batch/job.cpp
@@ -15,7 +15,7 @@
   return Error{kind, std::move(message), std::move(remedy), Executed::kNo, {}};
 }
 
-/// Digest of a part's text and of the piece boundaries, so that moved boundaries change it.
+/// Digest of a part's text and of the piece boundaries, so that moving a boundary changes the digest.
 std::string digestOf(std::string_view text, const std::vector<std::uint32_t>& ends) {
   const XXH128_hash_t ends_hash = XXH3_128bits(ends.data(), ends.size() * sizeof(std::uint32_t));
   const XXH128_hash_t hash = XXH3_128bits_withSeed(text.data(), text.size(), ends_hash.low64 ^ ends_hash.high64);
@@ -122,19 +122,19 @@
 Status Job::checkNewPart(std::uint32_t part, const std::vector<Item>& items, std::size_t bytes) const {
   if (cancelled_) return refused(ErrorKind::kCancelled, id_.value + " was cancelled", "create a new job");
   if (state_ != JobState::kReceiving) {
-    return refused(ErrorKind::kConflict, id_.value + " is sealed and takes no further parts",
+    return refused(ErrorKind::kConflict, id_.value + " is sealed and accepts no further parts",
                    "put the items into a new job");
   }
   if (part >= kMaxPartsPerJob) {
-    return refused(ErrorKind::kTooLarge, fmt::format("part {} is above the limit", part),
+    return refused(ErrorKind::kTooLarge, fmt::format("part number {} is above the limit", part),
                    fmt::format("number parts from 0 to {}", kMaxPartsPerJob - 1));
   }
   if (received_items_ + items.size() > kMaxItemsPerJob) {
-    return refused(ErrorKind::kTooLarge, fmt::format("the job would hold more than {} items", kMaxItemsPerJob),
+    return refused(ErrorKind::kTooLarge, fmt::format("the job would contain more than {} items", kMaxItemsPerJob),
                    "split the items over several jobs");
   }
   if (received_bytes_ + bytes > kMaxBytesPerJob) {
-    return refused(ErrorKind::kTooLarge, fmt::format("the job would hold more than {} bytes", kMaxBytesPerJob),
+    return refused(ErrorKind::kTooLarge, fmt::format("the job would contain more than {} bytes", kMaxBytesPerJob),
                    "split the items over several jobs");
   }
   return okStatus();
@@ -161,8 +161,8 @@
   const auto known = parts_.find(part);
   if (known != parts_.end()) {
     if (known->second.digest == received.digest) return okStatus();
-    return refused(ErrorKind::kConflict, fmt::format("part {} was received with other content", part),
-                   "send the same items again, or use another part number");
+    return refused(ErrorKind::kConflict, fmt::format("part {} was already received with different content", part),
+                   "resend the same items, or use another part number");
   }
   Status checked = checkNewPart(part, items, bytes);
   if (!isOk(checked)) return checked;
@@ -207,7 +207,7 @@
   if (cancelled_ || state_ == JobState::kFinished) return;
   cancelled_ = true;
   if (state_ == JobState::kReceiving) {
-    // Nothing was accepted yet: the parts are dropped, their digests with them.
+    // The job was not sealed, so no item was accepted: drops the parts and their digests.
     parts_.clear();
     state_ = JobState::kFinished;
     finished_at_ = now;
@@ -238,7 +238,7 @@
     if (state != ItemState::kStarted) return false;
     return started_.at(outcome.index) == StartRecord{gateway, session, outcome.attempt};
   }
-  // A repeatable item can always be run again, and only the job's cancel cancels it.
+  // A repeatable item can always run again, and is cancelled only by the cancellation of the job.
   return outcome.state == ItemState::kCompleted || outcome.state == ItemState::kFailed;
 }
 
--- a/src/process/batch/job.hpp
+++ b/src/process/batch/job.hpp
@@ -16,17 +16,17 @@
 
 namespace hatchfork::batch {
 
-/// Number of a job within its group, from one.
+/// Number of a job within its group, starting at 1.
 using JobNumber = std::uint64_t;
 
-/// Most items of one job.
+/// Maximum number of items in a job.
 constexpr std::uint32_t kMaxItemsPerJob = 370'000;
-/// Most parts of one job.
+/// Maximum number of parts in a job.
 constexpr std::uint32_t kMaxPartsPerJob = 10'000;
-/// Most bytes of names and bodies of one job.
+/// Maximum total size of the item names and bodies of a job, in bytes.
 constexpr std::size_t kMaxBytesPerJob = std::size_t{1} << 30;
 
-/// Which attempt of which gateway session started an unrepeatable item.
+/// The gateway session and the attempt that started an unrepeatable item.
 struct StartRecord {
   GatewayId gateway;
   std::uint64_t session = 0;
@@ -35,15 +35,15 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(StartRecord, gateway, session, attempt)
 
-/// "job-<group>-<number>".
+/// Returns "job-<group>-<number>".
 JobId makeJobId(GroupId group, JobNumber number);
-/// The group that holds a job, read from its identifier; absent for text that names no job.
+/// Returns the group that stores a job, parsed from its identifier; absent if the identifier is malformed.
 std::optional<GroupId> groupOfJob(const JobId& job);
-/// The number of a job within its group; absent for text that names no job.
+/// Returns the number of a job within its group; absent if the identifier is malformed.
 std::optional<JobNumber> numberOfJob(const JobId& job);
 
-/// One batch job: its numbered parts, then its items in part order with their states and results. Items are held in
-/// byte arenas with fixed-size records, not as one object each. Invariant: an item's terminal state never changes.
+/// One batch job: its numbered parts, then its items in part order with their states and results. Items are stored
+/// in byte arenas with fixed-size records, not as one object each. Invariant: an item's terminal state never changes.
 /// Deterministic; threading: control thread only.
 class Job {
  public:
@@ -54,32 +54,32 @@
   JobNumber number() const { return number_; }
   const JobSpec& spec() const { return spec_; }
   JobState state() const { return state_; }
-  /// True once a cancel was accepted, also after the job has finished.
+  /// True once a cancellation was accepted, also after the job has finished.
   bool cancelled() const { return cancelled_; }
-  /// Order in which the jobs of the group were sealed, from one; zero until sealed.
+  /// Position in the order in which the jobs of the group were sealed, starting at 1; zero until sealed.
   std::uint64_t sealSequence() const { return seal_sequence_; }
   JobStatus status() const;
 
   /// Number of items; zero until sealed.
   ItemIndex itemCount() const { return static_cast<ItemIndex>(records_.size()); }
   ItemState itemState(ItemIndex index) const { return records_[index].state; }
-  /// First pending item at or after `from`; `itemCount()` when there is none.
+  /// Returns the first pending item at or after `from`, or `itemCount()` if there is none.
   ItemIndex nextPending(ItemIndex from) const;
-  /// Name and body of an item. The body is gone once all items of its part are terminal.
+  /// Returns the name and body of an item. The body is empty once all items of its part are terminal.
   Item item(ItemIndex index) const;
   ItemResult result(ItemIndex index) const;
   /// Items in state `kStarted`, in index order.
   const std::map<ItemIndex, StartRecord>& started() const { return started_; }
-  /// Bytes that this job takes in memory, without allocator overhead.
+  /// Returns the memory used by this job in bytes, without allocator overhead.
   std::size_t memoryBytes() const;
 
   Status addPart(std::uint32_t part, const std::vector<Item>& items);
   Status seal(std::uint32_t parts, std::uint64_t seal_sequence, WallMillis now);
-  /// All pending items end as cancelled; started ones wait for their attempt's outcome.
+  /// Cancels the job: all pending items become cancelled; started items wait for the outcome of their attempt.
   void cancel(WallMillis now);
-  /// Grants the start of an unrepeatable item: pending, or started before by the same attempt.
+  /// Starts an unrepeatable item. Returns true if the item was pending or was already started by the same attempt.
   bool start(ItemIndex index, const StartRecord& record);
-  /// Ends an item. Returns false, and changes nothing, where the outcome does not count.
+  /// Moves an item to its terminal state. Returns false, and changes nothing, if the outcome is not accepted.
   bool complete(const ItemOutcome& outcome, const GatewayId& gateway, std::uint64_t session, WallMillis now);
 
   nlohmann::json toSnapshot() const;
@@ -94,7 +94,7 @@
     /// End offset of each piece in `text`.
     std::vector<std::uint32_t> ends;
     bool has_bodies = true;
-    /// Index of the first item; known once the job is sealed.
+    /// Index of the first item; set when the job is sealed.
     ItemIndex first = 0;
     std::uint32_t items = 0;
     /// Items that are not terminal.
--- a/src/process/batch/job_id.cpp
+++ b/src/process/batch/job_id.cpp
@@ -29,7 +29,7 @@
   const bool group_read = readNumber(text.substr(kPrefix.size(), dash - kPrefix.size()), parsed.group);
   const bool number_read = readNumber(text.substr(dash + 1), parsed.number);
   if (!group_read || !number_read) return std::nullopt;
-  // Only the canonical spelling names a job: no leading zeros.
+  // Only the canonical form is a valid identifier: no leading zeros.
   if (makeJobId(parsed.group, parsed.number) != job) return std::nullopt;
   return parsed;
 }
--- a/src/process/batch/job_snapshot.cpp
+++ b/src/process/batch/job_snapshot.cpp
@@ -3,7 +3,7 @@
 
 #include "process/batch/job.hpp"
 
-/// The snapshot form of a job: item records and piece ends as byte strings of fixed-size little-endian fields, so that
+/// Snapshot encoding of a job: item records and piece ends as byte strings of fixed-size little-endian fields, so that
 /// a snapshot costs no JSON value per item. Written and read on little-endian machines only.
 namespace hatchfork::batch {
 namespace {
@@ -28,7 +28,7 @@
 template <class Field>
 std::vector<Field> unpackedBytes(const Json& json) {
   const Json::binary_t& bytes = json.get_binary();
-  if (bytes.size() % sizeof(Field) != 0) throw std::out_of_range("packed records have a torn end");
+  if (bytes.size() % sizeof(Field) != 0) throw std::out_of_range("packed fields are truncated");
   std::vector<Field> fields(bytes.size() / sizeof(Field));
   if (!fields.empty()) std::memcpy(fields.data(), bytes.data(), bytes.size());
   return fields;
@@ -99,14 +99,16 @@
     element.at("open").get_to(part.open);
     const std::size_t pieces = std::size_t{part.items} * (part.has_bodies ? 2 : 1);
     const std::size_t last_end = part.ends.empty() ? 0 : part.ends.back();
-    if (part.ends.size() != pieces || last_end != part.text.size()) throw std::out_of_range("damaged part");
+    if (part.ends.size() != pieces || last_end != part.text.size())
+      throw std::out_of_range("part text and piece ends do not match");
     job.received_items_ += part.items;
     job.received_bytes_ += part.text.size();
     if (job.seal_sequence_ != 0) job.part_firsts_.push_back(part.first);
     job.parts_.emplace(element.at("number").get<std::uint32_t>(), std::move(part));
   }
   for (const PackedRecord& packed : unpackedBytes<PackedRecord>(json.at("records"))) {
-    if (packed.state > static_cast<std::uint32_t>(ItemState::kOutcomeUnknown)) throw std::out_of_range("item state");
+    if (packed.state > static_cast<std::uint32_t>(ItemState::kOutcomeUnknown))
+      throw std::out_of_range("unknown item state");
     job.records_.push_back(
         {ArenaSlice{packed.chunk, packed.offset, packed.size}, static_cast<ItemState>(packed.state)});
   }
--- a/src/process/batch/run_claims.cpp
+++ b/src/process/batch/run_claims.cpp
@@ -10,16 +10,17 @@
   if (known != claims_.end()) {
     if (known->second.digest == request.digest) return known->second.claimant == request.claimant;
     return Error{ErrorKind::kConflict,
-                 "the idempotency key was used with another body",
-                 "send the first body again, or use a new idempotency key",
+                 "the idempotency key was already used with a different request body",
+                 "resend the original body, or use a new idempotency key",
                  Executed::kNo,
                  {}};
   }
   if (claims_.size() >= kMaxRunClaims) {
     const auto oldest = claims_.find(order_.front());
     if (request.now - oldest->second.claimed_at < kClaimRetentionMillis) {
-      return Error{ErrorKind::kOverloaded, "too many unrepeatable requests in one day",
-                   "send the request without the unrepeatable mark, or later", Executed::kNo, std::chrono::minutes(5)};
+      return Error{ErrorKind::kOverloaded, "too many unrepeatable requests within 24 hours",
+                   "retry later, or send the request without marking it unrepeatable", Executed::kNo,
+                   std::chrono::minutes(5)};
     }
     claims_.erase(oldest);
     order_.pop_front();
--- a/src/process/batch/run_claims.hpp
+++ b/src/process/batch/run_claims.hpp
@@ -14,18 +14,19 @@
 
 namespace hatchfork::batch {
 
-/// Claims held at most; at this bound a claim older than `kClaimRetentionMillis` makes room.
+/// Maximum number of claims. At this limit the oldest claim is evicted if it is older than `kClaimRetentionMillis`.
 constexpr std::size_t kMaxRunClaims = 500'000;
-/// A claim is kept at least this long.
+/// Minimum time for which a claim is retained.
 constexpr WallMillis kClaimRetentionMillis = 24LL * 3600 * 1000;
 
-/// Claims of the single run of online unrepeatable requests, by (tenant, idempotency key). The first claim of a key is
-/// granted, and again to the same claimant, whose answer was lost; every other one is not. Deterministic; threading:
-/// control thread only.
+/// Claims to the single run of unrepeatable online requests, by (tenant, idempotency key). The first claim to a key is
+/// granted, and granted again to the same claimant, whose reply may have been lost; all other claims are denied.
+/// Deterministic; threading: control thread only.
 class RunClaims {
  public:
-  /// True: granted. False: claimed before by another claimant with the same digest. `kConflict`: claimed with another
-  /// digest. `kOverloaded`: the table is full of claims that are too young to forget.
+  /// Returns true if granted, false if another claimant holds the key with the same digest. Fails with `kConflict` if
+  /// the key was claimed with another digest, and with `kOverloaded` if the table is full and no claim is old enough to
+  /// evict.
   Result<bool> claim(const control::ClaimRunRequest& request);
   std::size_t size() const { return claims_.size(); }
 
@@ -48,7 +49,7 @@
   void insert(Name name, Claim claim);
 
   std::map<Name, Claim> claims_;
-  /// Names in the order of their claims.
+  /// Names in claim order, oldest first.
   std::deque<Name> order_;
 };
 
--- a/tests/process/batch/batch_properties_test.cpp
+++ b/tests/process/batch/batch_properties_test.cpp
@@ -42,7 +42,7 @@
 std::vector<control::ControlRequest> randomCommands() {
   std::vector<control::ControlRequest> commands;
   const auto count = *rc::gen::inRange<std::size_t>(10, 120);
-  // Both jobs exist and are mostly sealed early, so that the rest of the commands meets items.
+  // Creates both jobs and seals them early in most runs, so that the other commands apply to existing items.
   for (std::size_t job = 0; job < kJobs; ++job) {
     commands.push_back(createRequest("job-" + std::to_string(job), job == 1));
     for (std::uint32_t part = 0; part < 2; ++part) {
@@ -56,11 +56,12 @@
   return commands;
 }
 
+/// Records the outcomes and starts seen so far, to check that they never change.
 struct Ledger {
   std::map<JobNumber, std::map<ItemIndex, ItemResult>> ended;
   std::map<JobNumber, std::map<ItemIndex, StartRecord>> started;
 
-  /// Records new ends and starts; asserts that none recorded before has changed.
+  /// Records new outcomes and starts; asserts that no recorded one has changed.
   void observe(const BatchStateMachine& machine) {
     for (JobNumber number = 1; number <= machine.jobCount(); ++number) {
       const Job& job = *machine.findJob(number);
@@ -94,7 +95,7 @@
       RC_ASSERT(result.state != ItemState::kOutcomeUnknown);
       return;
     }
-    // Ended by an attempt: it must be the one that was started. Ended by the job's cancel: no result.
+    // An item cancelled with its job has no result; any other outcome must come from the attempt that was started.
     if (result.state == ItemState::kCancelled && result.result.empty()) return;
     RC_ASSERT(started[job.number()].contains(index));
     const StartRecord& record = started[job.number()].at(index);
@@ -116,7 +117,7 @@
   }));
 }
 
-TEST_CASE("a restored machine equals the original and answers alike from then on", "[batch][property]") {
+TEST_CASE("a restored machine equals the original and gives the same replies afterwards", "[batch][property]") {
   CHECK(hatchfork::testing::holds([] {
     const std::vector<control::ControlRequest> commands = randomCommands();
     const auto cut = *rc::gen::inRange<std::size_t>(0, commands.size());
--- a/tests/process/batch/batch_state_machine_test.cpp
+++ b/tests/process/batch/batch_state_machine_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr GroupId kGroup = 2;
 
-TEST_CASE("a resent job is the same job and other settings under its key conflict", "[batch]") {
+TEST_CASE("a resent job is deduplicated and different settings under the same key conflict", "[batch]") {
   BatchStateMachine machine(kGroup);
   control::CreateJobRequest create = createRequest("night");
   const JobId job = std::get<control::JobReply>(applyTo(machine, create)).status.job;
@@ -36,7 +36,7 @@
   CHECK(errorKindOf(find("others", "night")) == ErrorKind::kNotFound);
 }
 
-TEST_CASE("a machine restored from a snapshot goes on to hold the same bytes", "[batch]") {
+TEST_CASE("a machine restored from a snapshot keeps producing identical snapshots", "[batch]") {
   BatchStateMachine machine(kGroup);
   const JobId job = submit(machine, createRequest("night"), 40);
   applyTo(machine, completion(job, {{0, 1, ItemState::kCompleted, "first"}}));
@@ -53,7 +53,7 @@
   }
 }
 
-TEST_CASE("only the canonical spelling names a job", "[batch]") {
+TEST_CASE("only the canonical form of a job identifier is valid", "[batch]") {
   for (const char* text : {"", "job-", "job-1", "job-1-", "job-01-2", "job-1-2x", "job--1-2", "task-1-2"}) {
     CHECK_FALSE(groupOfJob(JobId(text)).has_value());
   }
@@ -85,7 +85,7 @@
   CHECK(machine.findJob(job)->item(4).custom_id == "second-1");
 }
 
-TEST_CASE("a job above the item limit is too large and keeps what it had", "[batch]") {
+TEST_CASE("a part that exceeds the item limit of a job is rejected and leaves the job unchanged", "[batch]") {
   BatchStateMachine machine(kGroup);
   const JobId job = std::get<control::JobReply>(applyTo(machine, createRequest("large"))).status.job;
   Job reference(job, 1, createRequest("large").spec, 0);
@@ -132,7 +132,7 @@
   CHECK(machine.runningJobsAfter(0).empty());
 }
 
-TEST_CASE("a job cancelled before its seal accepts nothing more", "[batch]") {
+TEST_CASE("a job cancelled before its seal accepts no further parts", "[batch]") {
   BatchStateMachine machine(kGroup);
   const JobId job = std::get<control::JobReply>(applyTo(machine, createRequest("early"))).status.job;
   applyTo(machine, control::AddPartRequest{job, 0, makeItems(1)});
@@ -142,7 +142,7 @@
   CHECK(statusOf(machine, job).state == JobState::kFinished);
 }
 
-TEST_CASE("an unrepeatable item ends only by the attempt that started it", "[batch]") {
+TEST_CASE("an unrepeatable item becomes terminal only by the attempt that started it", "[batch]") {
   BatchStateMachine machine(kGroup);
   const JobId job = submit(machine, createRequest("once", true), 3);
   const auto granted = [&](const control::StartItemsRequest& request) {
@@ -167,7 +167,7 @@
   CHECK(machine.jobsWithStartedItems().empty());
 }
 
-TEST_CASE("a run is claimed once; its claimant alone is told so again", "[batch]") {
+TEST_CASE("a run is claimed once and a repeated claim is granted to the same claimant only", "[batch]") {
   BatchStateMachine machine(kGroup);
   const control::ClaimRunRequest claim{TenantId("crew"), "key", "digest", "gateway-1-claim-1", 1000};
   CHECK(std::get<control::ClaimRunReply>(applyTo(machine, claim)).granted);
