--- a/src/process/exchange/gateway_program_metrics.cpp
+++ b/src/process/exchange/gateway_program_metrics.cpp
@@ -7,70 +7,65 @@
 
 void GatewayProgram::fillMetrics(metrics::MetricsPage& page) const {
   const auto requests = [&page](const char* outcome, std::uint64_t value) {
-    page.counter("hatchfork_requests_total", "Online requests by outcome.", static_cast<double>(value),
+    page.counter("hatchfork_requests_total", "Online requests by their end.", static_cast<double>(value),
                  {{"outcome", outcome}});
   };
   requests("answered", counters_.answered);
   requests("refused", counters_.refused);
   requests("failed", counters_.failed);
   requests("caller_left", counters_.caller_left);
-  page.gauge("hatchfork_held_for_peers_bytes", "Bytes buffered for callers and engines that read slowly.",
+  page.gauge("hatchfork_held_for_peers_bytes", "Held for callers and engines that have not read it yet.",
              static_cast<double>(slow_readers_->bytes()));
-  page.gauge("hatchfork_held_for_peers_most_bytes", "Upper limit of hatchfork_held_for_peers_bytes.",
-             static_cast<double>(slow_readers_->mostBytes()));
+  page.gauge("hatchfork_held_for_peers_most_bytes", "Bound of that.", static_cast<double>(slow_readers_->mostBytes()));
   const connection::SlowReaders::Counters& slow = slow_readers_->counters();
   const auto closed = [&page](const char* side, std::uint64_t value) {
-    page.counter("hatchfork_slow_readers_let_go_total",
-                 "Connections closed because the peer read nothing for too long.", static_cast<double>(value),
-                 {{"side", side}});
+    page.counter("hatchfork_slow_readers_let_go_total", "Connections ended since the far side took nothing for long.",
+                 static_cast<double>(value), {{"side", side}});
   };
   closed("caller", slow.callers_let_go);
   closed("engine", slow.engines_let_go);
-  page.counter("hatchfork_waits_for_held_room_total",
-               "Reads of answers and long requests delayed for lack of buffer space.", static_cast<double>(slow.waits));
+  page.counter("hatchfork_waits_for_held_room_total", "Answers and long requests that were not read for lack of room.",
+               static_cast<double>(slow.waits));
   fleet::fillReleaseMetrics(page, fleet::leastReleaseOf(feed_->view().stores),
                             stores_.framesPassedOver() + feed_->framesPassedOver());
-  page.counter("hatchfork_requests_rejected_early_total",
-               "Requests refused on arrival because they would miss their objective.",
+  page.counter("hatchfork_requests_rejected_early_total", "Refused at their arrival, since they would be late.",
                static_cast<double>(counters_.rejected_early));
   page.counter("hatchfork_attempts_total", "Requests sent to engines.", static_cast<double>(counters_.attempts));
-  page.counter("hatchfork_attempts_declined_total", "Attempts declined by the engine.",
+  page.counter("hatchfork_attempts_declined_total", "Of these, declined by the engine.",
                static_cast<double>(counters_.declined));
-  page.counter("hatchfork_streams_resumed_total", "Streams resumed by a further attempt.",
+  page.counter("hatchfork_streams_resumed_total", "Streams that went on at another engine.",
                static_cast<double>(counters_.resumed));
-  page.counter("hatchfork_events_repeated_total", "Engine events dropped because the caller already had them.",
+  page.counter("hatchfork_events_repeated_total", "Events of engines left out since the caller had them.",
                static_cast<double>(counters_.repeated_events));
-  page.counter("hatchfork_events_misplaced_total", "Engine events that do not follow the last event of the caller.",
+  page.counter("hatchfork_events_misplaced_total", "Events of engines that do not follow what the caller has.",
                static_cast<double>(counters_.misplaced_events));
   page.histogram("hatchfork_first_byte_ms", "From receipt to the first byte of the answer.", counters_.first_byte);
   page.histogram("hatchfork_request_ms", "From receipt to the end of the request.", counters_.whole);
   page.counter("hatchfork_engine_connections_total", "Connections made to engines.",
                static_cast<double>(engines_.connectionsMade()));
-  page.counter("hatchfork_engine_connections_reused_total", "Requests sent on a reused connection.",
+  page.counter("hatchfork_engine_connections_reused_total", "Requests on a kept connection.",
                static_cast<double>(engines_.connectionsReused()));
   const StartGateCounters& start = start_gate_.counters();
   const auto held = [&page](const char* outcome, std::uint64_t value) {
     page.counter("hatchfork_requests_at_start_total",
-                 "Requests that arrived before this gateway could serve, by outcome.", static_cast<double>(value),
+                 "Requests that came before this gateway could serve, by their end.", static_cast<double>(value),
                  {{"outcome", outcome}});
   };
   held("served", start.served);
   held("refused", start.refused);
   held("caller_left", start.caller_left);
-  page.histogram("hatchfork_start_hold_ms", "Wait of requests that arrived before this gateway could serve.",
-                 start.wait);
-  page.gauge("hatchfork_held_requests", "Requests currently waiting at this gateway.",
+  page.histogram("hatchfork_start_hold_ms", "How long such requests were held.", start.wait);
+  page.gauge("hatchfork_held_requests", "Requests that wait at this gateway now.",
              static_cast<double>(pending_budget_.requests()));
-  page.gauge("hatchfork_held_request_bytes", "Body bytes of the requests currently waiting at this gateway.",
-             static_cast<double>(pending_budget_.bytes()));
+  page.gauge("hatchfork_held_request_bytes", "Bytes of their bodies.", static_cast<double>(pending_budget_.bytes()));
   const PlacementClientCounters& placement = placement_.counters();
-  page.counter("hatchfork_placements_total", "Attempts by the process that chose the engine.",
+  page.counter("hatchfork_placements_total", "Attempts by who chose their engine.",
                static_cast<double>(placement.placed), {{"by", "store"}});
-  page.counter("hatchfork_placements_total", "Attempts by the process that chose the engine.",
+  page.counter("hatchfork_placements_total", "Attempts by who chose their engine.",
                static_cast<double>(placement.placed_locally), {{"by", "gateway"}});
-  page.histogram("hatchfork_placement_wait_ms", "Wait for the answer of the placement store.", placement.wait);
+  page.histogram("hatchfork_placement_wait_ms", "Wait for the store that places requests.", placement.wait);
   const auto queued = [&page](const char* outcome, std::uint64_t value) {
-    page.counter("hatchfork_line_requests_total", "Requests queued at the placement store, by outcome.",
+    page.counter("hatchfork_line_requests_total", "Requests in line at the store that places them, by outcome.",
                  static_cast<double>(value), {{"outcome", outcome}});
   };
   queued("stood", placement.queued);
@@ -78,8 +73,7 @@
   queued("left_waiting", placement.unresolved);
   const RateLimitCounters& limits = rate_limits_.counters();
   const auto limited = [&page](const char* outcome, std::uint64_t value) {
-    page.counter("hatchfork_rate_limit_total",
-                 "Requests of tenants with a rate limit, by the outcome of the limit check.",
+    page.counter("hatchfork_rate_limit_total", "Requests of tenants with a rate limit, by what became of them there.",
                  static_cast<double>(value), {{"outcome", outcome}});
   };
   limited("admitted", limits.admitted - limits.admitted_locally);
@@ -87,40 +81,35 @@
   limited("over_limit", limits.over_limit);
   limited("unanswered", limits.unanswered);
   limited("caller_left", limits.caller_left);
-  page.counter("hatchfork_rate_limit_appointments_total",
-               "Requests over a limit refused with a scheduled retry and a reserved credit.",
+  page.counter("hatchfork_rate_limit_appointments_total", "Refused over a limit with a time at which a credit is kept.",
                static_cast<double>(limits.scheduled_retries));
-  page.counter("hatchfork_rate_limit_held_total", "Requests that waited at this gateway for a reserved credit.",
+  page.counter("hatchfork_rate_limit_held_total", "Requests that waited here for a credit that was kept for them.",
                static_cast<double>(limits.admitted_held));
-  page.counter("hatchfork_rate_limit_questions_total", "Credit requests sent to the owners of rate limits.",
+  page.counter("hatchfork_rate_limit_questions_total", "Questions to the owners of rate limits.",
                static_cast<double>(limits.questions));
-  page.histogram("hatchfork_rate_limit_wait_ms", "Wait of requests that found no credit available.", limits.wait);
-  page.gauge("hatchfork_rate_limit_tenants", "Tenants with a rate limit and recent requests at this gateway.",
+  page.histogram("hatchfork_rate_limit_wait_ms", "Wait of the requests that found no credit.", limits.wait);
+  page.gauge("hatchfork_rate_limit_tenants", "Tenants with a rate limit that sent requests here lately.",
              static_cast<double>(rate_limits_.accounts()));
-  page.counter("hatchfork_engine_crashes_seen_total", "Requests at this gateway during which an engine crashed.",
+  page.counter("hatchfork_engine_crashes_seen_total", "Requests here under which an engine ended.",
                static_cast<double>(crashes_.counters().crashes_seen));
-  page.counter("hatchfork_requests_quarantined_total", "Requests refused because engines crashed on the same content.",
+  page.counter("hatchfork_requests_quarantined_total", "Refused here, since engines ended under such a request.",
                static_cast<double>(crashes_.counters().refused));
-  page.gauge("hatchfork_crash_suspects", "Request contents that crashed an engine, fleet-wide.",
+  page.gauge("hatchfork_crash_suspects", "Contents under which an engine has ended, of the whole fleet.",
              static_cast<double>(crashes_.requestsKnown()));
   const JobApiCounters& jobs = jobs_.counters();
   page.counter("hatchfork_jobs_submitted_total", "Batch jobs submitted here.", static_cast<double>(jobs.submitted));
-  page.counter("hatchfork_jobs_accepted_total", "Submitted batch jobs that were stored.",
-               static_cast<double>(jobs.accepted));
-  page.counter("hatchfork_jobs_refused_total", "Submitted batch jobs refused as not executed.",
-               static_cast<double>(jobs.refused));
-  page.counter("hatchfork_jobs_over_limit_total",
-               "Submitted batch jobs refused because too many tokens wait on their route.",
+  page.counter("hatchfork_jobs_accepted_total", "Of these, kept.", static_cast<double>(jobs.accepted));
+  page.counter("hatchfork_jobs_refused_total", "Of these, refused as not run.", static_cast<double>(jobs.refused));
+  page.counter("hatchfork_jobs_over_limit_total", "Of these, refused since too many tokens wait on their route.",
                static_cast<double>(jobs.over_limit));
-  page.counter("hatchfork_jobs_unclear_total", "Submitted batch jobs with an unknown outcome.",
-               static_cast<double>(jobs.unclear));
+  page.counter("hatchfork_jobs_unclear_total", "Of these, without a clear outcome.", static_cast<double>(jobs.unclear));
   page.gauge("hatchfork_route_version", "Version of the routes in force here.",
              routes_ ? static_cast<double>(routes_->version()) : 0);
   const bool proved = feed_->provedAt() != Instant::min();
-  page.gauge("hatchfork_configuration_age_ms", "Time since the configuration was last confirmed as the newest.",
+  page.gauge("hatchfork_configuration_age_ms", "Time since the configuration was proved the newest.",
              proved ? static_cast<double>(toMillis(monotonicNow() - feed_->provedAt())) : -1);
-  page.gauge("hatchfork_engines_known", "Number of registered engines.", static_cast<double>(engine_keys_.size()));
-  page.gauge("hatchfork_ready", "1 while this gateway accepts new callers, else 0.", isReady() ? 1 : 0);
+  page.gauge("hatchfork_engines_known", "Engines that are registered.", static_cast<double>(engine_keys_.size()));
+  page.gauge("hatchfork_ready", "One while this gateway takes new callers.", isReady() ? 1 : 0);
 }
 
 }  // namespace hatchfork::exchange
