--- a/src/process/exchange/store_client.cpp
+++ b/src/process/exchange/store_client.cpp
@@ -118,7 +118,7 @@
   std::set<ReplicaId> in_flight;
   std::set<ReplicaId> asked;
   bool may_apply = false;
-  std::string cause = "no store is connected";
+  std::string cause = "no store is known";
 
   void end(const ReplicaId& store, StoreReply reply) {
     in_flight.erase(store);
--- a/src/process/store/item_runner.cpp
+++ b/src/process/store/item_runner.cpp
@@ -197,7 +197,7 @@
     ++news.sequence;
     news.ended = true;
     news.end = RunEnd::kBroken;
-    news.cause = "store is shutting down";
+    news.cause = "the store stops";
     unreported_ends_.push_back(std::move(news));
     run->stopped = true;
     if (run->control && run->control->cancel) run->control->cancel();
--- a/src/process/store/job_executor_runs.cpp
+++ b/src/process/store/job_executor_runs.cpp
@@ -104,7 +104,7 @@
   if (send_(runner, fleet::FleetMessage(std::move(order)))) return;
   run_table_.avoid(now, runner);
   run_table_.stop(run->number);
-  endRun(run, RunEnd::kDeclined, EngineVerdict::kNeutral, "runner unreachable");
+  endRun(run, RunEnd::kDeclined, EngineVerdict::kNeutral, "runner out of reach");
 }
 
 void JobExecutor::abandonRun(ItemRun& run) {
@@ -232,7 +232,7 @@
     const auto found = runs_.find(number);
     if (found == runs_.end()) continue;
     const ItemPtr run = found->second;
-    endRun(run, RunEnd::kBroken, EngineVerdict::kNeutral, "no report from the runner in time, or a report was lost");
+    endRun(run, RunEnd::kBroken, EngineVerdict::kNeutral, "runner silent");
     run->not_before = monotonicNow() + kRetryAfterLoss;
   }
 }
--- a/src/process/store/job_executor_trough.cpp
+++ b/src/process/store/job_executor_trough.cpp
@@ -182,7 +182,7 @@
       const ItemPtr chosen = runToPreempt(now, runs, kPreemptionInterval);
       if (!chosen) break;
       std::erase(runs, chosen);
-      preemptRun(chosen, "engine has more requests than slots");
+      preemptRun(chosen, "engine above its slots");
     }
   }
 }
@@ -211,7 +211,7 @@
   }
   const ItemPtr chosen = runToPreempt(now, runs, kPreemptionTime);
   if (!chosen) return;
-  preemptRun(chosen, "slot needed for an online request");
+  preemptRun(chosen, "online request placed");
   sendLeases(now);
 }
 
--- a/src/process/store/store_program_requests.cpp
+++ b/src/process/store/store_program_requests.cpp
@@ -19,7 +19,7 @@
   if (outcome.result == ProposalResult::kApplied && outcome.reply == kApplyUnknown) return UnknownReply{};
   if (outcome.result == ProposalResult::kApplied) return DoneReply{};
   const bool may_apply = outcome.result == ProposalResult::kUnknown;
-  return UnavailableReply{may_apply, may_apply ? "no quorum within the proposal timeout" : "no leader"};
+  return UnavailableReply{may_apply, may_apply ? "no quorum in time" : "no leader"};
 }
 
 }  // namespace
@@ -42,8 +42,7 @@
   if (state_->expectedBytes() + bytes > memory_.quota(MemoryConsumer::kState)) return "full";
   // A job larger than the limit is accepted if no other submission is in progress.
   const bool is_alone = submission_bytes_ == 0;
-  if (!is_alone && submission_bytes_ + bytes > memory_.quota(MemoryConsumer::kRequests))
-    return "too many bytes of submissions in progress";
+  if (!is_alone && submission_bytes_ + bytes > memory_.quota(MemoryConsumer::kRequests)) return "too much under way";
   return {};
 }
 
