--- a/src/process/store/placement_service.hpp
+++ b/src/process/store/placement_service.hpp
@@ -79,7 +79,7 @@
   const PlacementCounters& counters() const { return counters_; }
   std::size_t gateways() const { return gateways_.size(); }
   /// Number of requests in the queues.
-  std::size_t queuedRequests() const { return queued_requests_.size(); }
+  std::size_t queuedRequests() const { return pending_placements_.size(); }
 
  private:
   struct Gateway {
@@ -90,7 +90,7 @@
     /// Time of the last queue update sent to the gateway.
     Instant updated_at{};
   };
-  struct QueuedRequest {
+  struct PendingPlacement {
     fleet::PlacementQuestion question;
   };
 
@@ -125,7 +125,7 @@
   void leaveQueue(Gateway& gateway, std::uint64_t number);
   /// Drops a request that has left the queue, and answers its gateway.
   void answerQueued(request::QueueEntryId number,
-                    const std::function<fleet::PlacementAnswer(const QueuedRequest&)>& answer);
+                    const std::function<fleet::PlacementAnswer(const PendingPlacement&)>& answer);
 
   PreemptFunction preempt_;
   AnswerFunction answer_;
@@ -134,7 +134,7 @@
   request::EngineSelector selector_;
   std::map<std::string, Gateway> gateways_;
   std::map<ServiceId, request::ZoneQueue> queues_;
-  std::map<request::QueueEntryId, QueuedRequest> queued_requests_;
+  std::map<request::QueueEntryId, PendingPlacement> pending_placements_;
   request::QueueEntryId last_queue_number_ = 0;
   PlacementCounters counters_;
 };
--- a/src/process/store/placement_service_queue.cpp
+++ b/src/process/store/placement_service_queue.cpp
@@ -29,14 +29,14 @@
 /// regards this store as silent.
 constexpr Duration kQueueUpdateInterval = fromMillis(40);
 
-request::QueuedRequest standingOf(Instant now, const fleet::PlacementQuestion& question) {
+request::QueuedRequest queueEntryOf(Instant now, const fleet::PlacementQuestion& question) {
   const fleet::PlacementTerms& terms = *question.terms;
-  request::QueuedRequest standing;
-  standing.priority = terms.priority;
-  standing.has_returned = terms.has_returned;
-  standing.latest_start = now + fromMillis(terms.left_ms);
-  standing.may_be_refused = terms.may_be_refused;
-  return standing;
+  request::QueuedRequest queue_entry;
+  queue_entry.priority = terms.priority;
+  queue_entry.has_returned = terms.has_returned;
+  queue_entry.latest_start = now + fromMillis(terms.left_ms);
+  queue_entry.may_be_refused = terms.may_be_refused;
+  return queue_entry;
 }
 
 }  // namespace
@@ -91,22 +91,22 @@
                                                         const fleet::PlacementQuestion& question) {
   leaveQueue(gateway, question.number);
   ZoneQueue& queue = queues_[question.service];
-  const request::QueuedRequest standing = standingOf(now, question);
-  const std::size_t ahead = queue.ahead(standing);
+  const request::QueuedRequest queue_entry = queueEntryOf(now, question);
+  const std::size_t ahead = queue.ahead(queue_entry);
   const double wait_ms = queueWaitMs(now, question.service, ahead);
   if (ahead == 0) {
     if (const auto choice = chooseFreeSlot(now, question, wait_ms)) return placeAt(now, question, *choice);
     if (hasFastQueues(question)) return placeAnywhere(now, question);
   }
-  if (standing.may_be_refused && wait_ms > kAdmittedWaitShare * static_cast<double>(question.terms->left_ms)) {
+  if (queue_entry.may_be_refused && wait_ms > kAdmittedWaitShare * static_cast<double>(question.terms->left_ms)) {
     ++counters_.refused;
     return refusal(now, question);
   }
   const QueueEntryId number = ++last_queue_number_;
-  if (selector_.engineCount(question.service) == 0 || !queue.enter(now, number, standing)) {
+  if (selector_.engineCount(question.service) == 0 || !queue.enter(now, number, queue_entry)) {
     return placeAnywhere(now, question);
   }
-  queued_requests_[number] = QueuedRequest{question};
+  pending_placements_[number] = PendingPlacement{question};
   gateway.queued[question.number] = number;
   gateway.updated_at = now;
   ++counters_.queued_total;
@@ -127,7 +127,7 @@
 bool PlacementService::serveNext(Instant now, ZoneQueue& queue) {
   std::size_t ahead = 0;
   for (const QueueEntryId number : queue.first(kCandidatesPerSlot)) {
-    const fleet::PlacementQuestion& question = queued_requests_.at(number).question;
+    const fleet::PlacementQuestion& question = pending_placements_.at(number).question;
     const Duration waited = queue.waited(now, number);
     const double waited_ms = toSeconds(waited) * 1000;
     const double wait_ms = std::max(waited_ms, queueWaitMs(now, question.service, ahead++));
@@ -136,7 +136,7 @@
     queue.noteServed(number);
     ++counters_.placed_from_queue;
     counters_.queue_wait.observe(waited);
-    answerQueued(number, [&](const QueuedRequest& pending) { return placeAt(now, pending.question, *choice); });
+    answerQueued(number, [&](const PendingPlacement& pending) { return placeAt(now, pending.question, *choice); });
     return true;
   }
   return false;
@@ -150,7 +150,7 @@
     counters_.queue_wait.observe(queue.waited(now, number));
     queue.leave(number);
     if (refused) ++counters_.refused_from_queue;
-    answerQueued(number, [&, is_refused = refused](const QueuedRequest& pending) {
+    answerQueued(number, [&, is_refused = refused](const PendingPlacement& pending) {
       return is_refused ? refusal(now, pending.question) : placeAnywhere(now, pending.question);
     });
   }
@@ -160,10 +160,10 @@
 }
 
 void PlacementService::answerQueued(QueueEntryId number,
-                                    const std::function<fleet::PlacementAnswer(const QueuedRequest&)>& answer) {
-  const auto found = queued_requests_.find(number);
-  const QueuedRequest waiting = std::move(found->second);
-  queued_requests_.erase(found);
+                                    const std::function<fleet::PlacementAnswer(const PendingPlacement&)>& answer) {
+  const auto found = pending_placements_.find(number);
+  const PendingPlacement waiting = std::move(found->second);
+  pending_placements_.erase(found);
   Gateway& gateway = gateways_.at(waiting.question.node);
   gateway.queued.erase(waiting.question.number);
   const fleet::PlacementAnswer sent = answer(waiting);
@@ -173,9 +173,9 @@
 void PlacementService::leaveQueue(Gateway& gateway, std::uint64_t number) {
   const auto entry = gateway.queued.find(number);
   if (entry == gateway.queued.end()) return;
-  const auto waiting = queued_requests_.find(entry->second);
+  const auto waiting = pending_placements_.find(entry->second);
   queues_.at(waiting->second.question.service).leave(entry->second);
-  queued_requests_.erase(waiting);
+  pending_placements_.erase(waiting);
   gateway.queued.erase(entry);
   ++counters_.left_queue;
 }
@@ -188,7 +188,7 @@
     const auto& [number, queue_number] = *gateway.queued.begin();
     fleet::PlacementAnswer update;
     update.number = number;
-    const ZoneQueue& queue = queues_.at(queued_requests_.at(queue_number).question.service);
+    const ZoneQueue& queue = queues_.at(pending_placements_.at(queue_number).question.service);
     update.position = static_cast<std::int64_t>(queue.aheadOf(queue_number));
     answer_(gateway.connection, update);
   }
--- a/src/process/store/store_program.hpp
+++ b/src/process/store/store_program.hpp
@@ -122,8 +122,8 @@
   CrashRelay crash_relay_;
   connection::Timer crash_timer_;
   bool crash_timer_armed_ = false;
-  /// Version of the kept crashes that was applied last, digest of the observed crashes that were last compared with the
-  /// kept crashes, and whether a proposal is in flight.
+  /// Version of the stored crashes that was applied last, digest of the observed crashes that were last compared with
+  /// the stored crashes, and whether a proposal is in flight.
   std::uint64_t kept_crashes_applied_ = 0;
   std::uint64_t crashes_compared_ = 0;
   bool crash_proposal_in_flight_ = false;
