--- a/bench/experiment/batch_path.cpp
+++ b/bench/experiment/batch_path.cpp
@@ -188,7 +188,7 @@
     ++pauses_;
     sendCancel(context_, zone_, item->routed.engine, attempt);
     endAttempt(item, AttemptResult::kCancelled);
-    item->paused = request::PausedAt{item->routed.engine, context_.now()};
+    item->paused = request::PausedPlacement{item->routed.engine, context_.now()};
     services_[service].ready.push_front(item);
   }
   if (!attempts.empty()) dispatchReady(service);
--- a/bench/experiment/batch_path.hpp
+++ b/bench/experiment/batch_path.hpp
@@ -35,7 +35,7 @@
     LeasedItem leased;
     std::uint32_t tokens = 0;
     Instant not_before{};
-    std::optional<request::PausedAt> paused;
+    std::optional<request::PausedPlacement> paused;
     request::AttemptId attempt = 0;
     request::RoutedAttempt routed;
     Instant heard_at{};
--- a/src/process/consensus/messages.hpp
+++ b/src/process/consensus/messages.hpp
@@ -20,7 +20,9 @@
   static constexpr std::string_view kKind = "hello";
   /// True once the sender belongs to a cluster.
   bool formed = false;
-  /// The initial membership that the sender has made durable; empty until all initial members have answered it.
+  /// The initial membership that the sender has made durable; empty while the sender has agreed to none. A sender that
+  /// forms a cluster agrees once it has received a hello from every other initial member, none of which belongs to a
+  /// cluster yet.
   Membership pinned;
   bool answer_wanted = false;
 };
--- a/src/process/consensus/replica_replication.cpp
+++ b/src/process/consensus/replica_replication.cpp
@@ -203,7 +203,8 @@
     finish(request, NotLeader{leading && transfer_ ? std::optional(transfer_->target.id) : leaderName()});
     return;
   }
-  // Registered first: if the disk fails here, the outcome must be unknown.
+  // The proposal is registered before the entry is appended: if the disk fails during the append, the proposer must
+  // receive an unknown outcome.
   proposals_[log_->lastIndex() + 1] = request;
   appendOwnEntry(EntryKind::kCommand, std::move(command));
 }
--- a/src/process/exchange/gateway_program.hpp
+++ b/src/process/exchange/gateway_program.hpp
@@ -77,7 +77,8 @@
   void onCrashNotes(const ReplicaId& from, const fleet::CrashNotesFrame& notes);
   /// Schedules a report of crashes observed here to the stores of this zone; batches crashes that are close in time.
   void scheduleCrashReport();
-  /// Requests the known crashes from stores until one answers or the wait after the first view times out.
+  /// Requests the known crashes from stores until one answers or the time limit, counted from the first fleet view,
+  /// has passed.
   connection::Awaitable<void> fetchKnownCrashes();
   /// Sends `request` to the first reachable aggregator, starting at index `turn`. Returns the index after it, or
   /// `turn` if none is reachable.
--- a/src/process/exchange/gateway_program_metrics.cpp
+++ b/src/process/exchange/gateway_program_metrics.cpp
@@ -19,13 +19,13 @@
   page.gauge("hatchfork_held_for_peers_most_bytes", "Upper limit of hatchfork_held_for_peers_bytes.",
              static_cast<double>(slow_readers_->mostBytes()));
   const connection::SlowReaders::Counters& slow = slow_readers_->counters();
-  const auto closed = [&page](const char* side, std::uint64_t value) {
+  const auto addClosedCounter = [&page](const char* side, std::uint64_t value) {
     page.counter("hatchfork_slow_readers_let_go_total",
                  "Connections closed because the peer read nothing for too long.", static_cast<double>(value),
                  {{"side", side}});
   };
-  closed("caller", slow.callers_let_go);
-  closed("engine", slow.engines_let_go);
+  addClosedCounter("caller", slow.callers_let_go);
+  addClosedCounter("engine", slow.engines_let_go);
   page.counter("hatchfork_waits_for_held_room_total",
                "Reads of answers and long requests delayed for lack of buffer space.", static_cast<double>(slow.waits));
   fleet::fillReleaseMetrics(page, fleet::leastReleaseOf(feed_->view().stores),
--- a/src/process/gateway/batch_item_run.hpp
+++ b/src/process/gateway/batch_item_run.hpp
@@ -30,7 +30,7 @@
   std::vector<EngineId> failed_engines;
   std::uint32_t failures = 0;
   /// Set while the item waits after a pause.
-  std::optional<request::PausedAt> paused;
+  std::optional<request::PausedPlacement> paused;
   /// Not before this time, after a failure.
   Instant not_before{};
   /// The start of an unrepeatable item was committed for this gateway.
--- a/src/process/gateway/batch_runner.cpp
+++ b/src/process/gateway/batch_runner.cpp
@@ -81,7 +81,7 @@
     if (item->spec.unrepeatable) continue;
     ++traffic_.counters().batch_pauses;
     if (item->stop == Stop::kNone) item->stop = Stop::kPause;
-    item->paused = request::PausedAt{item->routed.engine, monotonicNow()};
+    item->paused = request::PausedPlacement{item->routed.engine, monotonicNow()};
     if (item->attempt) item->attempt->cancel();
   }
 }
--- a/src/process/storage/posix_disk.cpp
+++ b/src/process/storage/posix_disk.cpp
@@ -145,8 +145,8 @@
   const auto known = descriptors_.find(name);
   if (known != descriptors_.end()) return known->second;
   const std::string path = pathOf(name);
-  const int folders = createFolders(parentOf(path));
-  if (folders != 0) return -folders;
+  const int folder_error = createFolders(parentOf(path));
+  if (folder_error != 0) return -folder_error;
   const int descriptor = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kFileMode);
   if (descriptor < 0) return -errno;
   descriptors_[name] = descriptor;
@@ -163,8 +163,8 @@
 Status PosixDisk::append(const std::string& name, std::string_view bytes) {
   const int descriptor = appendDescriptor(name);
   if (descriptor < 0) return storageError("open", name, -descriptor);
-  const int failed = writeAll(descriptor, bytes);
-  if (failed != 0) return storageError("write", name, failed);
+  const int write_error = writeAll(descriptor, bytes);
+  if (write_error != 0) return storageError("write", name, write_error);
   return okStatus();
 }
 
@@ -177,18 +177,18 @@
   closeDescriptor(name);
   const std::string path = pathOf(name);
   const std::string temporary = path + std::string(kTemporarySuffix);
-  const int folders = createFolders(parentOf(path));
-  if (folders != 0) return storageError("create folder of", name, folders);
+  const int folder_error = createFolders(parentOf(path));
+  if (folder_error != 0) return storageError("create folder of", name, folder_error);
   {
     const DescriptorGuard file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
     if (file.get() < 0) return storageError("open", name, errno);
-    const int failed = writeAll(file.get(), bytes);
-    if (failed != 0) return storageError("write", name, failed);
+    const int write_error = writeAll(file.get(), bytes);
+    if (write_error != 0) return storageError("write", name, write_error);
     if (::fdatasync(file.get()) != 0) return storageError("sync", name, errno);
   }
   if (::rename(temporary.c_str(), path.c_str()) != 0) return storageError("rename", name, errno);
-  const int synced = syncFolder(parentOf(path));
-  if (synced != 0) return storageError("sync folder of", name, synced);
+  const int sync_error = syncFolder(parentOf(path));
+  if (sync_error != 0) return storageError("sync folder of", name, sync_error);
   return okStatus();
 }
 
@@ -197,8 +197,8 @@
   linked_.erase(name);
   const std::string path = pathOf(name);
   if (::unlink(path.c_str()) != 0) return storageError("remove", name, errno);
-  const int synced = syncFolder(parentOf(path));
-  if (synced != 0) return storageError("sync folder of", name, synced);
+  const int sync_error = syncFolder(parentOf(path));
+  if (sync_error != 0) return storageError("sync folder of", name, sync_error);
   return okStatus();
 }
 
@@ -227,8 +227,8 @@
   const DescriptorGuard file(job.descriptor);
   if (::fdatasync(file.get()) != 0) return storageError("sync", job.name, errno);
   if (job.folder.empty()) return okStatus();
-  const int synced = syncFolder(job.folder);
-  if (synced != 0) return storageError("sync folder of", job.name, synced);
+  const int sync_error = syncFolder(job.folder);
+  if (sync_error != 0) return storageError("sync folder of", job.name, sync_error);
   return okStatus();
 }
 
--- a/src/process/store/crash_relay.hpp
+++ b/src/process/store/crash_relay.hpp
@@ -33,12 +33,12 @@
 
   /// Sets the aggregators of all zones, without this store.
   void setAggregators(std::vector<ReplicaId> aggregators) { aggregators_ = std::move(aggregators); }
-  /// Takes notes or a hello from a process. A hello subscribes the sender; if its digest differs from the one here, it
-  /// is sent all that is recorded here and requested to do the same.
+  /// Handles crash notes or a hello received from a process. A hello subscribes the sender; if its digest differs from
+  /// the one here, it is sent all that is recorded here and requested to do the same.
   void take(Instant now, const fleet::CrashNotesFrame& notes, const Receiver& from);
-  /// Takes notes from the aggregator at which this store is subscribed.
+  /// Handles crash notes received from the aggregator at which this store is subscribed.
   void takeAnswer(Instant now, const fleet::CrashNotesFrame& notes);
-  /// Takes the crashes that are stored in the group's replicated log.
+  /// Handles the crashes that are stored in the group's replicated log.
   void takeStored(Instant now, const fleet::CrashNotesFrame& notes) {
     addNotes(watch_.take(now, notes), relayed_notes_);
   }
--- a/src/process/store/placement_service_queue.cpp
+++ b/src/process/store/placement_service_queue.cpp
@@ -166,8 +166,8 @@
   queued_requests_.erase(found);
   Gateway& gateway = gateways_.at(waiting.question.node);
   gateway.queued.erase(waiting.question.number);
-  const fleet::PlacementAnswer sent = answer(waiting);
-  answer_(gateway.connection, sent);
+  const fleet::PlacementAnswer reply = answer(waiting);
+  answer_(gateway.connection, reply);
 }
 
 void PlacementService::leaveQueue(Gateway& gateway, std::uint64_t number) {
--- a/src/request/admission/byte_budget.hpp
+++ b/src/request/admission/byte_budget.hpp
@@ -22,7 +22,8 @@
   /// Shorter limit while more than half of the bound is in use: longer than a link with packet loss needs to resume,
   /// shorter than other peers need to fill the rest of the bound.
   Duration silence_limit_under_pressure = std::chrono::seconds(2);
-  /// Limit above the bound itself. A peer silent for less than this is not slow: its bytes may still be in transit.
+  /// Limit while more than the whole bound is in use. A peer silent for less than this is not slow: its bytes may still
+  /// be in transit.
   Duration min_silence_limit = fromMillis(500);
 };
 
@@ -35,9 +36,9 @@
 };
 
 /// Bounds the bytes that a process buffers for callers and engines that read slowly: hundreds of callers that read a
-/// byte per second, or engines that stop reading long requests, each buffer little but together more than a small
-/// gateway has. Backpressure comes first (`mayGrow`, `hasRoom`): bytes not yet read from the other side cost nothing
-/// here. After that, peers that accept nothing are reported as slow, the largest first. No I/O, no clock.
+/// byte per second, or engines that stop reading long requests, each need little buffer space but together more
+/// than a small gateway has. Backpressure comes first (`mayGrow`, `hasRoom`): bytes not yet read from the other side
+/// use no memory here. After that, peers that accept nothing are reported as slow, the largest first. No I/O, no clock.
 class ByteBudget {
  public:
   explicit ByteBudget(ByteBudgetLimits limits) : limits_(limits) {}
@@ -58,7 +59,8 @@
   /// True if the buffer may grow: there is room, or the buffer is the oldest that is still growing and little is
   /// offered to peers. The exception keeps growing buffers from all waiting for each other.
   bool mayGrow(BufferId id) const;
-  /// Returns the peers to disconnect now, the largest buffer first. Their bytes count until they are released.
+  /// Returns the peers to disconnect now, the largest buffer first. Their bytes stay in the total until
+  /// `release` is called for their buffers.
   std::vector<SlowPeer> slowPeers(Instant now) const;
 
   std::size_t bytes() const { return bytes_; }
--- a/src/request/admission/fair_share.hpp
+++ b/src/request/admission/fair_share.hpp
@@ -31,8 +31,9 @@
   /// Bounds the work counted in one window to this multiple of the usual work, so that a surge does not become the
   /// usual work while it lasts.
   double max_window_factor = 2;
-  /// A tenant is within its usual work up to `usual_margin` times that work, with a burst of the usual work of the
-  /// time `burst`, or of `burst_requests` requests: requests of one tenant arrive in bursts.
+  /// A tenant is within its usual work while it requests no more than `usual_margin` times that work per second. Since
+  /// requests of one tenant arrive in bursts, its token bucket also covers work in advance: that of the time `burst`,
+  /// or of the time in which its usual work amounts to `burst_requests` requests of the current size if that is longer.
   double usual_margin = 1.25;
   Duration burst = std::chrono::seconds(1);
   double burst_requests = 4;
@@ -60,10 +61,11 @@
 /// weight. The weight is the configured weight of the tenant times its usual work, and at least times the mean usual
 /// work of all tenants. Usual work is measured over the configured weight, so that tenants with a constant backlog
 /// converge to shares by configured weight. A tenant that was idle has a full bucket and starts at the common virtual
-/// time: it gets no other credit for the past. Only the order is decided here, never that a free slot stays empty.
-/// State is soft: it starts empty, and then all tenants are equal. No I/O, no clock. Not thread-safe.
+/// time: it gets no other credit for the past. This class decides only the order; it never keeps a free slot empty.
+/// State is not persisted: a new instance assumes the same usual work for all tenants. No I/O, no clock. Not
+/// thread-safe.
 ///
-/// Use: call `enter` for each request, also for a request that gets a slot at once; order waiting requests by
+/// Usage: call `enter` for each request, also for a request that gets a slot at once; order waiting requests by
 /// `Turn::start`; call `serve` for a request that gets a slot and `leave` for a request that leaves without one.
 class FairShare {
  public:
--- a/src/request/admission/load_forecaster.cpp
+++ b/src/request/admission/load_forecaster.cpp
@@ -156,12 +156,12 @@
   for (std::size_t span = 0; span < LoadForecast::kSpans; ++span) {
     double risen = 0;
     for (const Rises& rises : rises_) risen = std::max(risen, rises[span]);
-    double most = std::min(greatest, level() + risen);
+    double max_in_flight = std::min(greatest, level() + risen);
     if (trusted) {
       const auto from = static_cast<std::size_t>(LoadForecast::beginOf(span) / limits_.bin);
-      most = std::min(most, periodicPeak(from, binsIn(LoadForecast::kEnds[span])));
+      max_in_flight = std::min(max_in_flight, periodicPeak(from, binsIn(LoadForecast::kEnds[span])));
     }
-    forecast_.most[span] = most;
+    forecast_.most[span] = max_in_flight;
   }
   forecast_.most[0] = std::max(forecast_.most[0], level());
 }
--- a/src/request/admission/trough_scheduler.hpp
+++ b/src/request/admission/trough_scheduler.hpp
@@ -29,19 +29,20 @@
 };
 
 struct TroughSchedulerLimits {
-  /// Items whose slack exceeds this number of whole runs, at the speed that lasting room allows, wait for such room.
-  /// Items with less slack than `urgent_slack_runs` start in any slot that is free now.
+  /// Slack is computed as if runs started only in lasting room (see `TroughScheduler`) and is given here in durations
+  /// of a whole run. Items with more slack than `relaxed_slack_runs` wait for lasting room; items with less slack than
+  /// `urgent_slack_runs` start in any slot that is free now.
   double relaxed_slack_runs = 1;
   double urgent_slack_runs = 0.3;
-  /// Number of standard deviations of the expected online load that stay free on top of it: a slot that falls free
-  /// within a load cycle and is taken again at once is not usable room.
+  /// Number of standard deviations of the expected online load that stay free on top of it: a slot that is
+  /// released within a load cycle and occupied again at once is not usable room.
   double margin_deviations = 1;
-  /// A run that would be preempted sooner than this after its start repeats its prompt for little gain, so only the
-  /// most urgent items start under that condition.
+  /// A run that is preempted sooner than this after its start makes little progress for the cost of processing its
+  /// prompt again. Only the most urgent items start where such an early preemption is expected.
   Duration min_run_time = fromMillis(1000);
 };
 
-/// Result of judging an item: whether it starts, in which zone, and the figures behind the decision.
+/// Decision on one item: whether its run starts, in which zone, and the values that the decision is based on.
 struct TroughVerdict {
   bool begins = false;
   ZoneId zone;
@@ -55,9 +56,9 @@
 /// Decides where batch runs may start so that a rise of online load does not preempt them. Online load often comes in
 /// cycles; a trough is the part of a cycle with little online load. A run that fills a trough and is preempted by the
 /// next peak has to be repeated. A run starts where its slot is expected to stay free of online requests until the run
-/// ends (lasting room). The less slack the queued items have at the speed that this rule allows, the less room is
-/// reserved for the next peak, down to none: then a run starts wherever a slot is free now. State is soft: a new
-/// instance has seen no load cycle and reserves nothing. No I/O, no clock. Not thread-safe.
+/// ends (lasting room). The less slack the queued items would have if runs started only in lasting room, the less room
+/// is reserved for the next peak, down to none: then a run starts wherever a slot is free now. State is not persisted:
+/// a new instance has seen no load cycle and reserves nothing. No I/O, no clock. Not thread-safe.
 class TroughScheduler {
  public:
   explicit TroughScheduler(TroughSchedulerLimits limits = {}) : limits_(limits) {}
--- a/src/request/batch/batch_admission.cpp
+++ b/src/request/batch/batch_admission.cpp
@@ -145,7 +145,7 @@
   if (forgotten) engines_.erase(found);
 }
 
-BatchAdmission::EngineRecord* BatchAdmission::engineToWaitFor(Instant now, const PausedAt& paused) {
+BatchAdmission::EngineRecord* BatchAdmission::engineToWaitFor(Instant now, const PausedPlacement& paused) {
   if (now - paused.at >= options_.max_wait_for_cached_engine) return nullptr;
   const auto found = engines_.find(paused.engine);
   return found != engines_.end() && isUsable(now, found->second) ? &found->second : nullptr;
@@ -157,7 +157,8 @@
   return engine;
 }
 
-std::optional<EngineId> BatchAdmission::admit(Instant now, AttemptId attempt, const std::optional<PausedAt>& paused) {
+std::optional<EngineId> BatchAdmission::admit(Instant now, AttemptId attempt,
+                                              const std::optional<PausedPlacement>& paused) {
   if (EngineRecord* last = paused ? engineToWaitFor(now, *paused) : nullptr) {
     raiseLimit(now, *last);
     if (roomOn(now, *last) == 0 || !mayStart(*last)) return std::nullopt;
--- a/src/request/batch/batch_admission.hpp
+++ b/src/request/batch/batch_admission.hpp
@@ -16,8 +16,9 @@
 /// Identifies one running batch attempt within a gateway. Chosen by the caller and never reused.
 using AttemptId = std::uint64_t;
 
-/// Engine at which a paused item ran last, and which therefore probably still caches its prompt and answer.
-struct PausedAt {
+/// Engine at which a paused item ran last, and which therefore probably still caches its prompt and answer, and the
+/// time of the pause.
+struct PausedPlacement {
   EngineId engine;
   Instant at;
 };
@@ -69,7 +70,7 @@
   /// Places one batch item and counts it as running. Returns nothing if no engine has room. A paused item is placed on
   /// the engine where it ran last. Another engine, which would have to process the prompt again, is chosen only if that
   /// engine is gone or if the item has been paused for `max_wait_for_cached_engine`.
-  std::optional<EngineId> admit(Instant now, AttemptId attempt, const std::optional<PausedAt>& paused = {});
+  std::optional<EngineId> admit(Instant now, AttemptId attempt, const std::optional<PausedPlacement>& paused = {});
   /// Records a token of the attempt. `tokens` is the length of the answer so far, earlier attempts included. Returns
   /// true on the first token of the attempt: the attempt no longer counts as starting, so that another one may start.
   bool recordBatchToken(AttemptId attempt, std::uint32_t tokens);
@@ -116,7 +117,7 @@
   /// True if no online request waits for its first token and fewer than `max_starting_attempts` batch attempts do.
   bool mayStart(const EngineRecord& record) const;
   /// Returns the engine that the paused item must wait for, or null if any engine may be chosen.
-  EngineRecord* engineToWaitFor(Instant now, const PausedAt& paused);
+  EngineRecord* engineToWaitFor(Instant now, const PausedPlacement& paused);
   EngineId place(AttemptId attempt, const EngineId& engine, EngineRecord& record);
   /// Increases the limit by one for each `growth_interval` that has passed.
   void raiseLimit(Instant now, EngineRecord& record) const;
--- a/tests/process/store/placement_queue_test.cpp
+++ b/tests/process/store/placement_queue_test.cpp
@@ -59,7 +59,8 @@
     service.setAnswerHandler([this](const void* connection, const fleet::PlacementAnswer& answer) {
       answers.emplace_back(connection, answer);
     });
-    // One request at each engine reports the speed, and how long a request occupies a slot.
+    // One request is run at each engine, so that the engine's speed and the time for which a request occupies a slot
+    // are known.
     for (int i = 0; i < engines; ++i) {
       const std::uint64_t number = 1000 + static_cast<std::uint64_t>(i);
       service.take(at(-700), question("g0", number), &kFirst);
--- a/tests/request/admission/retry_schedule_test.cpp
+++ b/tests/request/admission/retry_schedule_test.cpp
@@ -221,8 +221,9 @@
   REQUIRE(sent_answer.at(5) == 7000);
   const nlohmann::json old_answer = nlohmann::json::parse(R"(["crew",true,2.0,40.0,0.5,7000])");
   REQUIRE_FALSE(old_answer.get<fleet::CreditAnswerFrame>().answer.supports_scheduled_retries);
-  const nlohmann::json later = nlohmann::json::parse(R"(["crew",true,2.0,40.0,0.5,7000,true,[[5,9,1000]],"more"])");
-  REQUIRE(later.get<fleet::CreditAnswerFrame>().answer.replies.at(0).outcome == CreditOutcome::kRefused);
+  const nlohmann::json newer_answer =
+      nlohmann::json::parse(R"(["crew",true,2.0,40.0,0.5,7000,true,[[5,9,1000]],"more"])");
+  REQUIRE(newer_answer.get<fleet::CreditAnswerFrame>().answer.replies.at(0).outcome == CreditOutcome::kRefused);
 }
 
 TEST_CASE("no request gets a retry time that it cannot use", "[admission][returns]") {
--- a/tests/request/batch/batch_admission_test.cpp
+++ b/tests/request/batch/batch_admission_test.cpp
@@ -142,7 +142,7 @@
   admission.updateFleet(at(0), std::make_shared<const ServiceFleet>(fleet), at(20000));
   CHECK(admission.admit(at(0), 1) == EngineId("larger"));
   admission.recordBatchToken(1, 1);
-  const PausedAt paused{kEngine, at(0)};
+  const PausedPlacement paused{kEngine, at(0)};
   CHECK(admission.admit(at(0), 2, paused) == kEngine);
   // While that engine is full, the item waits for it, and other items are placed elsewhere.
   for (int online = 0; online < 16; ++online) admission.beginOnline(at(1), kEngine);
--- a/tests/request/exchange/engine_selector_test.cpp
+++ b/tests/request/exchange/engine_selector_test.cpp
@@ -484,8 +484,8 @@
   selector.setEvacuated(kStart, {ZoneId("z1")});
   selector.setEvacuated(kStart, {});
   for (const auto& [engine, count] : chooseForOneSecond(selector, kStart, query())) REQUIRE(count <= 10);
-  const auto warm = chooseForOneSecond(selector, kStart + std::chrono::seconds(4), query());
-  REQUIRE(warm.at(EngineId("engine-0")) > 100);
+  const auto counts_when_warm = chooseForOneSecond(selector, kStart + std::chrono::seconds(4), query());
+  REQUIRE(counts_when_warm.at(EngineId("engine-0")) > 100);
 }
 
 namespace {
