--- a/src/process/exchange/gateway_program_metrics.cpp
+++ b/src/process/exchange/gateway_program_metrics.cpp
@@ -18,12 +18,12 @@
              static_cast<double>(slow_readers_->bytes()));
   page.gauge("hatchfork_held_for_peers_most_bytes", "Bound of that.", static_cast<double>(slow_readers_->mostBytes()));
   const connection::SlowReaders::Counters& slow = slow_readers_->counters();
-  const auto closed = [&page](const char* side, std::uint64_t value) {
+  const auto addClosedCounter = [&page](const char* side, std::uint64_t value) {
     page.counter("hatchfork_slow_readers_let_go_total", "Connections ended since the far side took nothing for long.",
                  static_cast<double>(value), {{"side", side}});
   };
-  closed("caller", slow.callers_let_go);
-  closed("engine", slow.engines_let_go);
+  addClosedCounter("caller", slow.callers_let_go);
+  addClosedCounter("engine", slow.engines_let_go);
   page.counter("hatchfork_waits_for_held_room_total", "Answers and long requests that were not read for lack of room.",
                static_cast<double>(slow.waits));
   fleet::fillReleaseMetrics(page, fleet::leastReleaseOf(feed_->view().stores),
