--- a/src/process/exchange/exchange_run_stream.cpp
+++ b/src/process/exchange/exchange_run_stream.cpp
@@ -116,7 +116,7 @@
     verdict_ = EngineVerdict::kGood;
     co_return co_await finishStream(exchange.status());
   }
-  cause_ = "stream: closed without framing, completeness unknown";
+  cause_ = "stream: closed without its length";
   co_return AttemptEnd::kStreamBroken;
 }
 
