--- a/src/process/consensus/log.cpp
+++ b/src/process/consensus/log.cpp
@@ -15,7 +15,7 @@
 constexpr std::string_view kSegmentPrefix = "log-";
 /// A segment is closed once it has grown beyond this.
 constexpr std::uint64_t kSegmentBytes = 1 << 20;
-/// Payloads from this size on are worth releasing.
+/// Minimum size of a command's payload that is released from memory; smaller payloads stay in memory.
 constexpr std::size_t kReleasedBytes = 1024;
 /// A batch's buffer is kept for the next one up to this size.
 constexpr std::size_t kMaxSpareBytes = 64 * 1024;
--- a/src/process/consensus/membership_plan.cpp
+++ b/src/process/consensus/membership_plan.cpp
@@ -9,7 +9,8 @@
 
 /// A voter counts as answering while it is silent for less than this.
 constexpr Duration kAnswersWithin = fromMillis(1000);
-/// A member whose folder was emptied has been silent for at least this.
+/// Minimum silence of a member before it is replaced by another incarnation that was announced: an announcement of a
+/// former incarnation may arrive while the current one answers.
 constexpr Duration kFormerSelfSilentFor = fromMillis(300);
 
 /// The planning of one change; holds the input for its steps.
--- a/src/process/store/job_executor_crashes.cpp
+++ b/src/process/store/job_executor_crashes.cpp
@@ -4,8 +4,9 @@
 #include "common/log.hpp"
 #include "process/store/job_executor.hpp"
 
-// Handling of items during which engines crashed: they run apart from each other, and are not sent while another crash
-// is too likely.
+// Handling of items during which engines crashed. If possible, such an item is sent to an engine at which no other
+// suspect runs. It is parked while its content is refused because of its crashes, and, after two or more crashes, also
+// while its content runs elsewhere or only engines with suspects have a free slot.
 namespace hatchfork::store {
 
 using request::EngineChoice;
--- a/src/process/store/load_aggregator.hpp
+++ b/src/process/store/load_aggregator.hpp
@@ -62,9 +62,11 @@
   SendFunction send_;
   std::vector<ReplicaId> peers_;
   std::map<std::string, Receiver> receivers_;
-  /// Load reported to this store, and the same together with the totals of the other aggregators.
+  /// Load reported to this store.
   request::LoadTable local_;
+  /// Load reported to this store, together with the totals of the other aggregators.
   request::LoadTable all_;
+  /// Load in `all_` without batch runs and without the requests that this store placed; engines to avoid are included.
   request::LoadTable not_placed_;
   /// Load of batch runs reported to this store.
   request::LoadTable background_;
--- a/src/request/exchange/engine_state.hpp
+++ b/src/request/exchange/engine_state.hpp
@@ -21,7 +21,8 @@
 /// State that one process keeps of one engine.
 struct EngineState {
   EngineRecord record;
-  /// Equal in all processes: ranks the engine for lanes and prefixes.
+  /// Hash of the engine's id. The engines of a service with the lowest hashes are those for long prompts, so that all
+  /// processes choose the same engines.
   std::uint64_t id_hash = 0;
   std::uint32_t in_flight = 0;
   /// Prompt tokens of own requests without a first byte yet.
--- a/src/version/configuration.cpp
+++ b/src/version/configuration.cpp
@@ -127,8 +127,8 @@
   const EditOverlay& configuration;
 
   Status operator()(const PutService& edit) const {
-    Status name = checkName("service", edit.service.id.value);
-    if (!isOk(name)) return name;
+    Status name_status = checkName("service", edit.service.id.value);
+    if (!isOk(name_status)) return name_status;
     if (!edit.service.policy.empty() && !configuration.hasPolicy(edit.service.policy)) {
       return invalid("service " + edit.service.id.value + " refers to the unknown policy " + edit.service.policy,
                      "put the policy first or in the same change before the service");
@@ -143,8 +143,8 @@
     return okStatus();
   }
   Status operator()(const PutEngine& edit) const {
-    Status name = checkName("engine", edit.engine.id.value);
-    if (!isOk(name)) return name;
+    Status name_status = checkName("engine", edit.engine.id.value);
+    if (!isOk(name_status)) return name_status;
     if (!configuration.hasService(edit.engine.service)) {
       return invalid("engine " + edit.engine.id.value + " refers to the unknown service " + edit.engine.service.value,
                      "put the service first or in the same change before the engine");
@@ -157,8 +157,8 @@
   }
   Status operator()(const RemoveEngine&) const { return okStatus(); }
   Status operator()(const PutTenant& edit) const {
-    Status name = checkName("tenant", edit.tenant.id.value);
-    if (!isOk(name)) return name;
+    Status name_status = checkName("tenant", edit.tenant.id.value);
+    if (!isOk(name_status)) return name_status;
     for (const std::string& hash : edit.tenant.key_hashes) {
       const bool hexadecimal = hash.find_first_not_of("0123456789abcdef") == std::string::npos;
       if (hash.size() != 64 || !hexadecimal) {
--- a/tests/request/admission/retry_schedule_test.cpp
+++ b/tests/request/admission/retry_schedule_test.cpp
@@ -113,7 +113,7 @@
     ++unkept;
     REQUIRE(reply.after == fromMillis(1600));
   }
-  // A twentieth of the limit, over 1.6 s.
+  // Reservations get 5 % (`floor_share`) of the limit of 100 requests per second: 8 in 1.6 s.
   REQUIRE(promised == 8);
   REQUIRE(unkept == 92);
 }
--- a/tests/request/admission/uneven_engines.hpp
+++ b/tests/request/admission/uneven_engines.hpp
@@ -31,7 +31,8 @@
   double step_ms = 36;
   std::uint32_t events = 17;
   std::uint32_t prompt_tokens = 350;
-  /// Periods of another speed: their length, the share of slow periods, and the greatest slowdown.
+  /// Each engine has its own random slowdown in each period, repeated after 100 periods: length of a period,
+  /// probability that the engine is slow in a period, and greatest slowdown.
   double slowdown_period_ms = 600;
   double slow_share = 0.15;
   double max_slowdown = 2.5;
--- a/tests/request/routing/peer_load_estimator_test.cpp
+++ b/tests/request/routing/peer_load_estimator_test.cpp
@@ -15,13 +15,13 @@
   PeerLoadEstimator load;
   std::vector<std::uint32_t> own;
   for (int index = 0; index < 200; ++index) own.push_back(index / 10 % 2 == 0 ? 2 : 12);
-  double most = 0;
+  double max_estimate = 0;
   for (int index = 2; index < 200; ++index) {
     // Each report is half a second old, which is two polls.
     load.recordReport(at(index * 250), own[index - 2], own[index]);
-    most = std::max(most, load.estimate(at(index * 250)));
+    max_estimate = std::max(max_estimate, load.estimate(at(index * 250)));
   }
-  CHECK(most < 2);
+  CHECK(max_estimate < 2);
 }
 
 TEST_CASE("a steady peer load is estimated beside the own load and expires with the reports", "[router][lag]") {
