--- a/src/process/exchange/gateway_program_metrics.cpp
+++ b/src/process/exchange/gateway_program_metrics.cpp
@@ -1,6 +1,6 @@
 #include "process/exchange/gateway_program.hpp"
 
-// What a gateway tells of itself.
+// Metrics of a gateway.
 namespace hatchfork::exchange {
 
 using connection::monotonicNow;
@@ -18,12 +18,12 @@
              static_cast<double>(slow_readers_->bytes()));
   page.gauge("hatchfork_held_for_peers_most_bytes", "Bound of that.", static_cast<double>(slow_readers_->mostBytes()));
   const connection::SlowReaders::Counters& slow = slow_readers_->counters();
-  const auto let_go = [&page](const char* side, std::uint64_t value) {
+  const auto addClosedCounter = [&page](const char* side, std::uint64_t value) {
     page.counter("hatchfork_slow_readers_let_go_total", "Connections ended since the far side took nothing for long.",
                  static_cast<double>(value), {{"side", side}});
   };
-  let_go("caller", slow.callers_let_go);
-  let_go("engine", slow.engines_let_go);
+  addClosedCounter("caller", slow.callers_let_go);
+  addClosedCounter("engine", slow.engines_let_go);
   page.counter("hatchfork_waits_for_held_room_total", "Answers and long requests that were not read for lack of room.",
                static_cast<double>(slow.waits));
   fleet::fillReleaseMetrics(page, fleet::leastReleaseOf(feed_->view().stores),
@@ -56,33 +56,33 @@
   held("caller_left", start.caller_left);
   page.histogram("hatchfork_start_hold_ms", "How long such requests were held.", start.wait);
   page.gauge("hatchfork_held_requests", "Requests that wait at this gateway now.",
-             static_cast<double>(held_.requests()));
-  page.gauge("hatchfork_held_request_bytes", "Bytes of their bodies.", static_cast<double>(held_.bytes()));
+             static_cast<double>(pending_budget_.requests()));
+  page.gauge("hatchfork_held_request_bytes", "Bytes of their bodies.", static_cast<double>(pending_budget_.bytes()));
   const PlacementClientCounters& placement = placement_.counters();
   page.counter("hatchfork_placements_total", "Attempts by who chose their engine.",
                static_cast<double>(placement.placed), {{"by", "store"}});
   page.counter("hatchfork_placements_total", "Attempts by who chose their engine.",
-               static_cast<double>(placement.alone), {{"by", "gateway"}});
+               static_cast<double>(placement.placed_locally), {{"by", "gateway"}});
   page.histogram("hatchfork_placement_wait_ms", "Wait for the store that places requests.", placement.wait);
-  const auto stood = [&page](const char* outcome, std::uint64_t value) {
+  const auto queued = [&page](const char* outcome, std::uint64_t value) {
     page.counter("hatchfork_line_requests_total", "Requests in line at the store that places them, by outcome.",
                  static_cast<double>(value), {{"outcome", outcome}});
   };
-  stood("stood", placement.stood);
-  stood("refused", placement.refused);
-  stood("left_waiting", placement.left_waiting);
+  queued("stood", placement.queued);
+  queued("refused", placement.refused);
+  queued("left_waiting", placement.unresolved);
   const RateLimitCounters& limits = rate_limits_.counters();
   const auto limited = [&page](const char* outcome, std::uint64_t value) {
     page.counter("hatchfork_rate_limit_total", "Requests of tenants with a rate limit, by what became of them there.",
                  static_cast<double>(value), {{"outcome", outcome}});
   };
-  limited("admitted", limits.admitted - limits.admitted_alone);
-  limited("admitted_without_owner", limits.admitted_alone);
+  limited("admitted", limits.admitted - limits.admitted_locally);
+  limited("admitted_without_owner", limits.admitted_locally);
   limited("over_limit", limits.over_limit);
   limited("unanswered", limits.unanswered);
-  limited("caller_left", limits.left);
+  limited("caller_left", limits.caller_left);
   page.counter("hatchfork_rate_limit_appointments_total", "Refused over a limit with a time at which a credit is kept.",
-               static_cast<double>(limits.appointments));
+               static_cast<double>(limits.scheduled_retries));
   page.counter("hatchfork_rate_limit_held_total", "Requests that waited here for a credit that was kept for them.",
                static_cast<double>(limits.admitted_held));
   page.counter("hatchfork_rate_limit_questions_total", "Questions to the owners of rate limits.",
--- a/src/process/fleet/crash_watch.cpp
+++ b/src/process/fleet/crash_watch.cpp
@@ -87,7 +87,7 @@
 void CrashWatch::noteCrash(Instant now, Instant began_at, const RequestFingerprint& content, const EngineId& engine,
                            WallMillis born) {
   const bool is_serving = !is_serving_ || is_serving_(engine);
-  const EngineId life = nameOfLife(engine, born);
+  const EngineId life = incarnationId(engine, born);
   const bool is_new = is_serving && ledger_.noteCrash(now, now - began_at, content, life);
   const CrashVerdict verdict = judge(content);
   logEvent(LogLevel::kInfo, "crash_noted",
@@ -106,7 +106,7 @@
 void CrashWatch::noteAnswered(Instant now, const RequestFingerprint& content) {
   if (!ledger_.knows(content)) return;
   const bool was_suspect = judge(content).isSuspect();
-  if (!ledger_.noteInnocent(now, content) || !was_suspect) return;
+  if (!ledger_.noteCompleteAnswer(now, content) || !was_suspect) return;
   logEvent(LogLevel::kInfo, "request_cleared", {{"content", content.value}});
   news_.innocents.push_back({content, 0});
   tell();
@@ -124,8 +124,8 @@
 
 CrashNotesFrame CrashWatch::take(Instant now, const CrashNotesFrame& notes) {
   CrashNotesFrame fresh;
-  for (const request::InnocenceRecord& record : notes.innocents) {
-    if (ledger_.noteInnocent(now - fromMillis(record.age_ms), record.content)) fresh.innocents.push_back(record);
+  for (const request::CompleteAnswerRecord& record : notes.innocents) {
+    if (ledger_.noteCompleteAnswer(now - fromMillis(record.age_ms), record.content)) fresh.innocents.push_back(record);
   }
   for (const request::CrashRecord& record : notes.crashes) {
     const bool is_new =
--- a/src/process/gateway/batch_runner.cpp
+++ b/src/process/gateway/batch_runner.cpp
@@ -45,7 +45,7 @@
 void BatchRunner::setBusyGroups(const std::vector<GroupId>& groups) {
   for (auto& [group, state] : groups_) {
     const bool busy = std::find(groups.begin(), groups.end(), group) != groups.end();
-    if (busy && !state.busy) state.pacer.askAtOnce();
+    if (busy && !state.busy) state.pacer.requestImmediately();
     state.busy = busy;
   }
 }
@@ -53,7 +53,7 @@
 void BatchRunner::noteSealed(GroupId group) {
   GroupState& state = groups_[group];
   state.busy = true;
-  state.pacer.askAtOnce();
+  state.pacer.requestImmediately();
 }
 
 bool BatchRunner::isDrained() const {
@@ -81,7 +81,7 @@
     if (item->spec.unrepeatable) continue;
     ++traffic_.counters().batch_pauses;
     if (item->stop == Stop::kNone) item->stop = Stop::kPause;
-    item->paused = request::PausedAt{item->routed.engine, monotonicNow()};
+    item->paused = request::PausedPlacement{item->routed.engine, monotonicNow()};
     if (item->attempt) item->attempt->cancel();
   }
 }
--- a/src/process/store/job_executor_trough.cpp
+++ b/src/process/store/job_executor_trough.cpp
@@ -5,7 +5,8 @@
 #include "common/log.hpp"
 #include "process/store/job_executor.hpp"
 
-// Which item begins next and where its place stays free, and which run gives way.
+// Order of the queue, choice of zones whose capacity remains free, and preemption of runs. A trough is the part of a
+// load cycle (periodic load) in which online requests leave engine slots free.
 namespace hatchfork::store {
 
 using request::EngineQuery;
@@ -13,8 +14,8 @@
 namespace {
 
 constexpr Duration kPlanInterval = fromMillis(50);
-/// What is told of online load counts for this long.
-constexpr Duration kLoadsKnownFor = fromMillis(1000);
+/// Reported online load expires after this time.
+constexpr Duration kLoadLifetime = fromMillis(1000);
 constexpr Duration kWaitLogInterval = std::chrono::seconds(1);
 
 std::int64_t periodOf(const request::TroughVerdict& verdict) {
@@ -39,17 +40,17 @@
   }
 }
 
-void JobExecutor::noteOthers(Instant now, const std::vector<request::EngineShare>& others) {
-  selector_.noteOthers(now, others);
+void JobExecutor::notePeerLoads(Instant now, const std::vector<request::EngineShare>& others) {
+  selector_.notePeerLoads(now, others);
   if (!plansTrough()) return;
-  trough_noted_at_ = now;
+  last_load_report_ = now;
   for (const ServiceId& service : batch_services_) trough_.noteLoad(now, service, selector_.zoneLoads(now, service));
 }
 
-std::optional<request::RunInFlight> JobExecutor::flightOf(const ItemRun& run) const {
+std::optional<request::RunInFlight> JobExecutor::runInFlightOf(const ItemRun& run) const {
   const EngineRecord* engine = selector_.recordOf(run.engine);
   if (engine == nullptr) return std::nullopt;
-  return request::RunInFlight{engine->service, engine->zone, run_times_.timeLeft(run.events)};
+  return request::RunInFlight{engine->service, engine->zone, run_times_.remainingTime(run.events)};
 }
 
 void JobExecutor::planTrough(Instant now) {
@@ -57,17 +58,17 @@
   next_plan_ = now + kPlanInterval;
   std::vector<request::RunInFlight> runs;
   for (const auto& [number, run] : runs_) {
-    if (const auto flight = flightOf(*run)) runs.push_back(*flight);
+    if (const auto flight = runInFlightOf(*run)) runs.push_back(*flight);
   }
   std::vector<request::WaitingItem> waiting;
   std::vector<ItemPtr> items;
   for (const ItemPtr& run : queue_) {
-    // An item that is due at no time presses none.
+    // An item without a due time exerts no pressure.
     if (run->due == Instant::max()) continue;
     waiting.push_back({run->service, run->order});
     items.push_back(run);
   }
-  const std::vector<double> pressing = trough_.plan(now, runs, waiting, run_times_.wholeTime());
+  const std::vector<double> pressing = trough_.plan(now, runs, waiting, run_times_.totalRunTime());
   for (std::size_t i = 0; i < items.size(); ++i) items[i]->pressing = pressing[i];
 }
 
@@ -76,25 +77,25 @@
   next_order_ = now + kOrderInterval;
   for (const ItemPtr& run : queue_) run->order = dueItemOf(*run);
   std::stable_sort(queue_.begin(), queue_.end(), [now](const ItemPtr& left, const ItemPtr& right) {
-    return request::goesBefore(now, left->order, right->order);
+    return request::precedes(now, left->order, right->order);
   });
   if (sharesFairly()) orderByShare(now);
 }
 
-/// Items keep the order of their due times within a tenant, and where their service has room for all of them.
+/// Items stay in the order of their due times within a tenant, and where their service has capacity for all of them.
 void JobExecutor::orderByShare(Instant now) {
   std::map<TenantId, double> work_before;
   for (const ItemPtr& run : queue_) {
     run->turn = 0;
-    if (request::isHopeless(now, run->order) || !trough_.isShort(run->service)) continue;
+    if (request::cannotFinishInTime(now, run->order) || !trough_.isRoomShort(run->service)) continue;
     const double work = toSeconds(run->order.time_left) * 1000;
     double& before = work_before[run->tenant];
     run->turn = shares_.startAfter(now, run->tenant, before, work);
     before += work;
   }
   std::stable_sort(queue_.begin(), queue_.end(), [now](const ItemPtr& left, const ItemPtr& right) {
-    const bool left_hopeless = request::isHopeless(now, left->order);
-    const bool right_hopeless = request::isHopeless(now, right->order);
+    const bool left_hopeless = request::cannotFinishInTime(now, left->order);
+    const bool right_hopeless = request::cannotFinishInTime(now, right->order);
     if (left_hopeless != right_hopeless) return right_hopeless;
     return left->turn < right->turn;
   });
@@ -102,12 +103,12 @@
 
 bool JobExecutor::fitsTrough(Instant now, const ItemRun& run, EngineQuery& query, request::TroughVerdict& verdict) {
   const bool is_planned = options_.load.batch_by_slack && run.due != Instant::max() && trough_.knows(query.service);
-  // Old news hold nothing back, and the most pressing items take what is free now, wherever that is.
-  const bool is_old = now > trough_noted_at_ + kLoadsKnownFor;
-  // What is late already has no slack to wait with, and would be left lying where no room lasts.
-  const bool is_late = request::isHopeless(now, run.order);
+  // Outdated load reports delay no item, and the most pressing items use any slot that is free now.
+  const bool is_old = now > last_load_report_ + kLoadLifetime;
+  // An item that is already late has no slack, and would never start if no capacity remained free for long enough.
+  const bool is_late = request::cannotFinishInTime(now, run.order);
   if (!is_planned || is_old || is_late || run.pressing >= 1) return true;
-  verdict = trough_.judge(query.service, run_times_.timeLeft(run.events), run.pressing, query.zones);
+  verdict = trough_.judge(query.service, run_times_.remainingTime(run.events), run.pressing, query.zones);
   if (!verdict.begins) {
     logWaiting(now, run, query, verdict);
     return false;
@@ -136,7 +137,7 @@
             {"pressing", fmt::format("{:.2f}", run.pressing)}});
 }
 
-std::map<EngineId, double> JobExecutor::runsTooMany(Instant now) {
+std::map<EngineId, double> JobExecutor::excessRuns(Instant now) {
   std::map<EngineId, double> excess;
   for (const request::EngineShare& share : selector_.ownShares(now)) {
     const double above = selector_.excess(now, share.engine);
@@ -145,48 +146,48 @@
   return excess;
 }
 
-JobExecutor::ItemPtr JobExecutor::runToYield(Instant now, const std::vector<ItemPtr>& runs, Duration needed_within) {
-  std::vector<request::YieldCandidate> candidates;
+JobExecutor::ItemPtr JobExecutor::runToPreempt(Instant now, const std::vector<ItemPtr>& runs, Duration needed_within) {
+  std::vector<request::PreemptionCandidate> candidates;
   for (const ItemPtr& run : runs) {
     run->order = dueItemOf(*run);
     candidates.push_back({run->events, run->last_event.has_value(), run->order});
   }
   if (options_.load.batch_by_slack) {
-    const auto chosen = request::chooseYield(now, candidates, needed_within, run_times_.wholeTime());
+    const auto chosen = request::choosePreemption(now, candidates, needed_within, run_times_.totalRunTime());
     return chosen ? runs[*chosen] : nullptr;
   }
   ItemPtr chosen;
   for (const ItemPtr& run : runs) {
-    // A run without an event would begin anew.
+    // A run without an event would start from the beginning.
     const bool loses_less = chosen && run->last_event.has_value() != chosen->last_event.has_value()
                                 ? run->last_event.has_value()
-                                : chosen && request::goesBefore(now, chosen->order, run->order);
+                                : chosen && request::precedes(now, chosen->order, run->order);
     if (!chosen || loses_less) chosen = run;
   }
   return chosen;
 }
 
-void JobExecutor::yieldSlots(Instant now) {
-  if (now < next_yield_) return;
-  next_yield_ = now + kYieldInterval;
-  const std::map<EngineId, double> excess = runsTooMany(now);
+void JobExecutor::preemptExcessRuns(Instant now) {
+  if (now < next_preemption_) return;
+  next_preemption_ = now + kPreemptionInterval;
+  const std::map<EngineId, double> excess = excessRuns(now);
   if (excess.empty()) return;
   std::map<EngineId, std::vector<ItemPtr>> candidates;
   for (const auto& [number, run] : runs_) {
-    // Only a run that can go on after an event loses nothing but the reading of its prompt.
+    // Only a run that can resume after an event loses no more than the prefill of its prompt.
     if (run->last_event && excess.contains(run->engine)) candidates[run->engine].push_back(run);
   }
   for (auto& [engine, runs] : candidates) {
     for (double above = excess.at(engine); above >= 1; above -= 1) {
-      const ItemPtr chosen = runToYield(now, runs, kYieldInterval);
+      const ItemPtr chosen = runToPreempt(now, runs, kPreemptionInterval);
       if (!chosen) break;
       std::erase(runs, chosen);
-      yieldRun(chosen, "engine above its slots");
+      preemptRun(chosen, "engine above its slots");
     }
   }
 }
 
-void JobExecutor::yieldRun(const ItemPtr& run, const std::string& cause) {
+void JobExecutor::preemptRun(const ItemPtr& run, const std::string& cause) {
   const Instant now = connection::monotonicNow();
   logEvent(LogLevel::kInfo, "run_gave_way",
            {{"job", run->job.value},
@@ -197,20 +198,20 @@
             {"events", run->events},
             {"slack_ms", toMillis(request::slackOf(now, run->order))},
             {"time_left_ms", toMillis(run->order.time_left)}});
-  board_.stop(run->number);
+  run_table_.stop(run->number);
   endRun(run, RunEnd::kYielded, request::EngineVerdict::kNeutral, cause);
 }
 
-void JobExecutor::giveWay(const EngineId& engine) {
+void JobExecutor::preemptAt(const EngineId& engine) {
   if (!leading_) return;
   const Instant now = connection::monotonicNow();
   std::vector<ItemPtr> runs;
   for (const auto& [number, run] : runs_) {
     if (run->engine == engine) runs.push_back(run);
   }
-  const ItemPtr chosen = runToYield(now, runs, kGiveWayTime);
+  const ItemPtr chosen = runToPreempt(now, runs, kPreemptionTime);
   if (!chosen) return;
-  yieldRun(chosen, "online request placed");
+  preemptRun(chosen, "online request placed");
   sendLeases(now);
 }
 
