--- a/src/version/policy/policy_program.cpp
+++ b/src/version/policy/policy_program.cpp
@@ -166,7 +166,7 @@
 
 Result<PolicyProgram> PolicyProgram::compile(const std::string& name, const std::string& source,
                                              const SandboxLimits& limits) {
-  if (source.size() > kLongestPolicySource) return failed(name, "is longer than 64 KB");
+  if (source.size() > kMaxPolicySourceBytes) return failed(name, "is longer than 64 KB");
   PolicyProgram program(name, limits);
   if (!program.sandbox_->isOpen()) return failed(name, "can't load the Lua libraries within its memory limit");
   const std::string chunk_name = "=" + name;
--- a/src/version/policy/policy_program.hpp
+++ b/src/version/policy/policy_program.hpp
@@ -10,7 +10,7 @@
 namespace hatchfork {
 
 /// Maximum length of the source of a policy program.
-constexpr std::size_t kLongestPolicySource = 64u << 10;
+constexpr std::size_t kMaxPolicySourceBytes = 64u << 10;
 
 /// A compiled policy program with a Lua state of its own. The source defines `function decide(request)`, which returns
 /// a table: allow (required), reason, urgency, may_shed, limits. State that a program keeps between calls is not
